--- a/tests/integration/fault_cluster.py
+++ b/tests/integration/fault_cluster.py
@@ -67,8 +67,7 @@
     def restart(self, name):
         """Starts a node again under the same settings once it has ended."""
         before = self.running[name].log_text().count("event=engine_up")
-        process = self.start(name, [f"{self.build}/vanilladyke", "serve", "--settings",
-                                    self.path(name + ".jsonc")])
+        process = self.start(name, [next(self.programs), "serve", "--settings", self.path(name + ".jsonc")])
         old = self.running[name]
         process.port, process.operators = old.port, old.operators
         self.running[name] = process
--- a/tests/integration/harness.py
+++ b/tests/integration/harness.py
@@ -5,6 +5,7 @@
 import copy
 import hashlib
 import http.client
+import itertools
 import json
 import os
 import random
@@ -128,8 +129,12 @@
 class Cluster:
     """Engines and nodes of one test."""
 
+    other_build = None  # of another version: every second node that starts is from there
+
     def __init__(self, build):
         self.build = build
+        self.programs = itertools.cycle(
+            f"{each}/vanilladyke" for each in ([build, self.other_build] if self.other_build else [build]))
         self.folder = tempfile.TemporaryDirectory()
         self.processes = []
         self.engines = {}
@@ -247,7 +252,7 @@
 
     def restart(self, node):
         """A new process with the settings of one that has ended; not waited for."""
-        process = self.start(node.name + "-again", [f"{self.build}/vanilladyke", "serve", "--settings",
+        process = self.start(node.name + "-again", [next(self.programs), "serve", "--settings",
                                                     self.path(node.name + ".jsonc")])
         process.port, process.operators, process.name = node.port, node.operators, node.name
         return process
@@ -276,8 +281,7 @@
         if self.log_port:
             settings["platform"]["log"] = f"127.0.0.1:{self.log_port}"
         settings.update(more)
-        process = self.start(name, [f"{self.build}/vanilladyke", "serve", "--settings",
-                                    self.write(name + ".jsonc", settings)])
+        process = self.start(name, [next(self.programs), "serve", "--settings", self.write(name + ".jsonc", settings)])
         process.port, process.operators, process.name = port, operators, name
         return process
 
@@ -344,11 +348,15 @@
 
 
 def main():
-    """Runs the tests of the calling file; --build names the folder with the programs."""
+    """Runs the tests of the calling file; --build names the folder with the programs, --other-build one of another
+    version, from which every second node that a test starts is then taken."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--build", default="build")
+    parser.add_argument("--other-build")
     known, rest = parser.parse_known_args()
     ClusterTest.build = os.path.abspath(known.build)
+    if known.other_build:
+        Cluster.other_build = os.path.abspath(known.other_build)
     unittest.main(argv=["test"] + rest, verbosity=2)
 
 
--- a/tests/integration/platform_fleet.py
+++ b/tests/integration/platform_fleet.py
@@ -388,7 +388,9 @@
                     "fails_closed": True, "weights_time_ms": 15000, "order_gap_ms": 1000, "grace_ms": 8000,
                     "second_sends": {"ratio": 0.2, "extra": 500, "window_ms": 10000}}
         path = self.cluster.write(name + ".jsonc", settings)
-        node = self.cluster.start(name, [f"{self.cluster.build}/vanilladyke", "node", "--settings", path])
+        program = next(self.cluster.programs)
+        node = self.cluster.start(name, [program, "node", "--settings", path])
+        node.program = program
         node.name, node.port, node.ready_port, node.metrics_port, node.settings = name, callers, ready, metrics, path
         self.nodes.append(node)
         return node
@@ -400,8 +402,10 @@
 
     def restart(self, node):
         """A new process of a node that has ended."""
+        program = next(self.cluster.programs)
         process = self.cluster.start(node.name + f"-{random.getrandbits(24)}",
-                                     [f"{self.cluster.build}/vanilladyke", "node", "--settings", node.settings])
+                                     [program, "node", "--settings", node.settings])
+        process.program = program
         process.name, process.port, process.ready_port = node.name, node.port, node.ready_port
         process.metrics_port, process.settings = node.metrics_port, node.settings
         self.nodes[self.nodes.index(node)] = process
