--- a/include/vanilladyke/policy/hot_prefixes.hpp
+++ b/include/vanilladyke/policy/hot_prefixes.hpp
@@ -6,35 +6,36 @@
 #include <cstdint>
 #include <unordered_map>
 
-/// How often each shared prefix is asked for, and so on how many engines it should live.
+/// Request rates of shared prefixes, and the number of engines that should cache each of them.
 ///
-/// Load pattern: a few prefixes are very hot, and which ones shifts. On one home a hot prefix
-/// queues while other engines are idle; on all engines it pushes every other prefix out of their
-/// caches. It gets as many homes as its work fills, counted along the rendezvous order, so that
-/// nodes that measure slightly different rates still agree on all homes but the last.
+/// Load pattern: a few prefixes are very hot, and the set of hot ones shifts. On a single engine a
+/// hot prefix builds a queue while other engines are idle; on all engines it evicts every other
+/// prefix from their caches. Each prefix gets as many preferred engines as its load requires, taken
+/// in rendezvous order, so that nodes that measure slightly different rates still agree on all of
+/// them but the last.
 namespace vanilladyke {
 
-/// @brief Rates of the shared prefixes that this node sees; bounded.
+/// @brief Rates of the shared prefixes in this node's requests; bounded.
 class HotPrefixes
 {
 public:
-    /// @brief Prefixes that are tracked at once; about 100 bytes each.
+    /// @brief Maximum prefixes tracked at once; about 100 bytes each.
     static constexpr std::size_t MostTracked = 4096;
 
     /// @brief Counts one request.
-    /// @param engineTime time of an engine that it takes, over all that run there at once
-    /// @param nodes nodes that see the same traffic
-    /// @return engines that the prefix should live on
+    /// @param engineTime engine time that it uses, divided by the requests that run concurrently
+    /// @param nodes number of nodes that share the traffic
+    /// @return number of engines that should cache the prefix
     std::uint32_t note(const ChainHash &prefix, Duration engineTime, std::uint32_t nodes,
                        TimePoint now);
 
-    /// @brief Engines that the prefix should live on, as last noted.
+    /// @brief Number of engines that should cache the prefix, as of its last counted request.
     [[nodiscard]] std::uint32_t homes(const ChainHash &prefix) const;
 
 private:
     struct Tracked
     {
-        double work = 0; ///< engine seconds, fading
+        double work = 0; ///< engine seconds, exponentially decayed
         std::uint32_t homes = 1;
         TimePoint changedAt;
     };
--- a/include/vanilladyke/policy/placement.hpp
+++ b/include/vanilladyke/policy/placement.hpp
@@ -15,24 +15,25 @@
 #include <string>
 #include <vector>
 
-/// Placement: which engine gets a request.
+/// Placement: selects the engine for a request.
 ///
-/// Load pattern: long shared prompts, skewed and shifting, over engines that differ in load. Sent
-/// to the least loaded engine, each engine computes every prefix; sent by prefix alone, a hot one
-/// queues. So each of a few candidates gets a predicted cost in weighted seconds:
+/// Load pattern: long shared prompts with a skewed, shifting popularity, and engines that differ in
+/// load. Pure least-loaded routing makes every engine prefill every prefix; pure prefix affinity
+/// builds a queue at the engine of a hot prefix. Placement therefore predicts a cost, in weighted
+/// seconds, for each of a few candidates:
 ///
 ///     tail weight × wait + prefill of the tokens expected missing (or their import)
-///         + price of recomputing × prefill of the tokens that another candidate has
+///         + recompute weight × prefill of the tokens that another candidate has cached
 ///
-/// Candidates are the holders of the longest known prefixes, the first of the rendezvous order
-/// and a few at random: their number doesn't grow with the fleet.
+/// Candidates are the holders of the longest cached prefixes, the first engines of the rendezvous
+/// order and a few random engines, so their number does not grow with the fleet.
 ///
-/// The cheapest may have no free slot, and most likely none before the request's deadline. Then the
-/// request goes to one that has, whatever it costs to compute the prefix there, as long as nobody
-/// waits for prefill there.
+/// If the cheapest candidate is unlikely to have a free slot before the request's deadline, the
+/// request goes to one with a timely slot, whatever the prefill costs there, provided that no
+/// prefill is queued there or the prefix is cached.
 namespace vanilladyke {
 
-/// @brief What has to be placed.
+/// @brief A request to be placed.
 struct PlacementRequest
 {
     CustomerId customer;
@@ -44,49 +45,49 @@
     std::vector<EngineId> excluded; ///< engines that already failed this request
 };
 
-/// @brief What the kept-cache store could give an engine.
+/// @brief The prefix of a request that an engine could import from the kept-cache store.
 struct KeptPrefix
 {
     std::uint32_t tokens = 0; ///< longest prefix of the request that is in the store
-    Duration latency{};       ///< until an import starts to flow
+    Duration latency{};       ///< until the first bytes of an import arrive
     double tokensPerSecond = 0;
 };
 
-/// @brief What a node knows beside the fleet when it decides.
+/// @brief Inputs of a placement decision besides the fleet.
 struct PlacementKnowledge
 {
     std::span<const PrefixHolder> holders; ///< longest prefix first
     const Survival &survival;
     const InFlight &inFlight;
     const SlotForecast &slots;
-    std::uint32_t homes = 1; ///< engines that the shared prefix should live on
+    std::uint32_t homes = 1; ///< number of engines that should cache the shared prefix
     KeptPrefix kept;
 };
 
-/// @brief Why a prefix up to some length is believed to be cached.
+/// @brief An assumed cached prefix and the evidence for it.
 struct Belief
 {
     Evidence evidence = Evidence::None;
     Duration age{};           ///< of the evidence
-    std::uint32_t tokens = 0; ///< length that it speaks for
+    std::uint32_t tokens = 0; ///< length of the prefix
 };
 
-/// @brief One engine that was weighed.
+/// @brief One engine that was considered, with its predicted cost.
 struct Candidate
 {
     std::size_t engine = 0;      ///< index into Fleet::engines
-    std::vector<Belief> beliefs; ///< longest first; each speaks for what the next one does not
+    std::vector<Belief> beliefs; ///< longest first; each covers the tokens beyond the next one
     std::uint32_t expectedCachedTokens = 0;
-    std::uint32_t importedTokens = 0; ///< to take from the kept-cache store; 0 for none
-    Duration wait{};                  ///< until its prefill may start
-    Duration slotWait{};              ///< of it, until a slot is free
-    bool isLate = false;              ///< a slot most likely comes too late for the deadline
-    Duration prefill{};               ///< of the missing tokens, the import included
-    double recomputedTokens = 0;      ///< that another candidate has
-    double cost = 0;                  ///< weighed seconds; the least wins
+    std::uint32_t importedTokens = 0; ///< to import from the kept-cache store; 0 for none
+    Duration wait{};                  ///< until the prefill can start
+    Duration slotWait{};              ///< part of wait: until a slot is free
+    bool isLate = false;              ///< a slot is unlikely to be free before the deadline
+    Duration prefill{};               ///< of the missing tokens, including any import
+    double recomputedTokens = 0;      ///< tokens to prefill that another candidate has cached
+    double cost = 0;                  ///< weighted seconds; the lowest is selected
 };
 
-/// @brief The decision with its reasons, so that it can be logged and explained.
+/// @brief A placement decision with its reasons, for logs and `vanilladyke explain`.
 struct Placement
 {
     std::optional<Candidate> winner; ///< none if no engine serves the model
@@ -94,30 +95,31 @@
     std::string reason; ///< no_engine, least_cost, near_tie, stays or in_time
 };
 
-/// @brief Chooses the engine of least predicted cost.
+/// @brief Selects the engine with the lowest predicted cost.
 [[nodiscard]] Placement place(const PlacementRequest &request, const Fleet &fleet,
                               const PlacementKnowledge &knowledge, TimePoint now, Random &random);
 
-/// @brief What a new request waits for at an engine; for both at the same time.
+/// @brief Predicted queueing of a new request at an engine; the two waits overlap.
 struct PredictedWait
 {
-    Duration prefill{}; ///< until the prompts ahead of it are computed
+    Duration prefill{}; ///< until the prefill backlog ahead of it is done
     Duration slot{};    ///< until a slot is free
 
     [[nodiscard]] Duration longest() const { return prefill < slot ? slot : prefill; }
 };
 
-/// @brief Time until the engine could start a new prefill.
-/// @param nodes that share the engines, this one included
+/// @brief Predicts the time until the engine can start a new prefill.
+/// @param nodes number of nodes that share the engines, including this one
 [[nodiscard]] PredictedWait predictedWait(const EngineView &engine, const InFlight &inFlight,
                                           const SlotForecast &slots, std::uint32_t nodes,
                                           std::uint32_t answerTokens, TimePoint now);
 
 /// @brief The weight of a second of prefill that another candidate would save.
 ///
-/// While even the least busy candidate has a queue, recomputing takes time from all that wait.
-/// Without this a fleet at its limit spreads every prefix over all engines to even out their
-/// queues, computes each anew everywhere, and so gets slower the more is asked of it.
+/// Grows with the wait at the least loaded candidate: once every candidate has a queue, recomputing
+/// a prefix delays all queued requests. With a fixed weight, a saturated fleet would spread every
+/// prefix over all engines to balance their queues, prefill each prefix on every engine, and lose
+/// throughput as the load grows.
 [[nodiscard]] double priceOfRecomputing(const Objective &objective, Duration leastWait);
 
 } // namespace vanilladyke
--- a/include/vanilladyke/policy/placement_policy.hpp
+++ b/include/vanilladyke/policy/placement_policy.hpp
@@ -3,39 +3,40 @@
 #include "vanilladyke/policy/hot_prefixes.hpp"
 #include "vanilladyke/policy/placement.hpp"
 
-/// All that one node learns from its own requests, and the placement that uses it.
+/// Placement with the statistics that a node collects from its own requests.
 namespace vanilladyke {
 
-/// @brief A request that was sent to the engine that a placement chose.
+/// @brief A request that was sent to the engine selected by a placement.
 struct PlacedRequest
 {
     InFlightTicket ticket;
     Candidate chosen;
     EngineKey engine{};
     Incarnation incarnation{};
-    double decodeTokensPerSecond = 0; ///< of the engine, for one stream
+    double decodeTokensPerSecond = 0; ///< of the engine, per stream
     std::optional<TimePoint> firstTokenAt;
 };
 
-/// @brief Decides on placements and learns from what becomes of them. Not thread-safe.
+/// @brief Decides placements and updates its statistics from their results. Not thread-safe.
 class PlacementPolicy
 {
 public:
-    /// @brief Chooses an engine. @param holders what the cache view says of the request's chain
+    /// @brief Selects an engine and counts the request.
+    /// @param holders the cache view's entries for the request's chain
     [[nodiscard]] Placement decide(const PlacementRequest &request, const Fleet &fleet,
                                    std::span<const PrefixHolder> holders, const KeptPrefix &kept,
                                    TimePoint now, Random &random);
-    /// @brief What decide() would choose; the request is not counted.
+    /// @brief Returns what decide() would, without counting the request.
     [[nodiscard]] Placement forecast(const PlacementRequest &request, const Fleet &fleet,
                                      std::span<const PrefixHolder> holders, const KeptPrefix &kept,
                                      TimePoint now, Random &random) const;
-    /// @brief The request is about to be sent to the placement's winner.
+    /// @brief Records that the request is about to be sent to the placement's winner.
     [[nodiscard]] PlacedRequest sent(const PlacementRequest &request, const Fleet &fleet,
                                      const Placement &placement, TimePoint now);
     void firstToken(PlacedRequest &placed, TimePoint now);
-    /// @brief The exchange has ended, in whatever way.
+    /// @brief Records that the exchange has ended, successfully or not.
     void finished(const PlacedRequest &placed, TimePoint now);
-    /// @brief The engine said how many prompt tokens it found in its cache.
+    /// @brief Records the number of prompt tokens that the engine reported as cached.
     void learn(const PlacedRequest &placed, std::uint32_t cachedTokens);
 
     [[nodiscard]] const InFlight &inFlight() const { return m_inFlight; }
--- a/include/vanilladyke/policy/rendezvous.hpp
+++ b/include/vanilladyke/policy/rendezvous.hpp
@@ -7,27 +7,28 @@
 #include <optional>
 #include <vector>
 
-/// Homes of prefixes: the engines to which every node sends a prefix that it knows nothing of.
+/// Rendezvous hashing: the preferred engines of a prefix, to which every node sends a prefix that
+/// is not in its cache view.
 ///
-/// Load pattern: many nodes that don't talk, and routers that restart in herds with empty views.
-/// Without homes each node would warm another engine. The order is a weighted rendezvous over
-/// groups of engines and a plain one inside a group: when an engine comes or goes, only the
-/// prefixes that it wins or loses move.
+/// Load pattern: many nodes that do not coordinate, and routers that restart together with empty
+/// views. Without a common order each node would cache the prefix on a different engine. The order
+/// is weighted rendezvous hashing over groups of engines and plain rendezvous hashing within a
+/// group: when an engine is added or removed, only the prefixes that it gains or loses move.
 namespace vanilladyke {
 
-/// @brief The first engines of the prefix's order, best first, as indices into Fleet::engines.
+/// @brief Returns up to @p most engines in the prefix's order, as indices into Fleet::engines.
 [[nodiscard]] std::vector<std::uint32_t> rendezvousOrder(const ModelEngines &engines,
                                                          const ChainHash &prefix, std::size_t most);
 
-/// @brief The cuts that decide on homes.
+/// @brief The cuts that determine the preferred engines.
 struct SharedLevels
 {
-    PrefixCut shared;  ///< end of the longest message that other prompts may share
+    PrefixCut shared;  ///< end of the longest message that other prompts can share
     PrefixCut deepest; ///< end of the last such message
 };
 
-/// @brief Levels of the prompt, from the prompt alone, so that all nodes find the same.
-/// @return none for a prompt without any cut
+/// @brief Finds the levels of a prompt. Depends on the prompt alone, so that all nodes agree.
+/// @return none for a prompt without cuts
 [[nodiscard]] std::optional<SharedLevels> sharedLevels(const PrefixChain &chain);
 
 } // namespace vanilladyke
--- a/include/vanilladyke/policy/survival.hpp
+++ b/include/vanilladyke/policy/survival.hpp
@@ -5,38 +5,40 @@
 #include <array>
 #include <cstdint>
 
-/// How much of a prefix is still cached some time after this node learned of it.
+/// Survival statistics of cached prefixes: the fraction still cached by evidence and age.
 ///
-/// Load pattern: engines evict within seconds and tell of it late. Without this a node goes on
-/// queueing at an engine that lost the prefix long ago. The figures are learned: every answer
-/// says how many prompt tokens came from the cache. Until there are answers, half is taken to
-/// survive 20 s, which is what engines with little memory showed in the measuring program.
+/// Load pattern: engines evict within seconds and report it late. Without an estimate, a node keeps
+/// queueing requests at an engine that evicted the prefix long ago. The statistics are learned from
+/// the number of cached prompt tokens in every answer. The prior is a half-life of 20 s, as
+/// measured on engines with little memory.
 namespace vanilladyke {
 
-/// @brief Why an engine is believed to hold a prefix.
+/// @brief Evidence that an engine has a prefix cached.
 enum class Evidence {
     None,
-    Known,      ///< the cache view says so
-    Doubted,    ///< the view says so, but news of that engine got lost since
-    Home,       ///< the view has nothing, but all nodes send this prefix there
-    SharedHome, ///< as Home, for the level that many prefixes share only
-    ColdHome,   ///< a home of which the view has nothing, while it knows other holders
+    Known,      ///< the cache view has an entry
+    Doubted,    ///< the view has an entry, but updates of the engine have been lost since
+    Home,       ///< no entry, but the preferred engine of the prefix for all nodes
+    SharedHome, ///< as Home, but only for the level that many prefixes share
+    ColdHome,   ///< a preferred engine without an entry, while other engines have one
 };
 
-/// @brief The fraction of a believed prefix that was really cached, by evidence and age.
+/// @brief The fraction of assumed cached tokens that were actually cached, by evidence and age.
 class Survival
 {
 public:
-    /// @brief The fraction to expect, in [0, 1].
+    /// @brief Returns the expected cached fraction, in [0, 1].
     [[nodiscard]] double fraction(Evidence evidence, Duration age) const;
-    /// @brief Takes in one answer. @param believed tokens that the evidence spoke for
+    /// @brief Records one answer.
+    /// @param believed tokens assumed cached by the evidence
+    /// @param cached tokens of them that were cached
     void learn(Evidence evidence, Duration age, std::uint32_t believed, std::uint32_t cached);
 
 private:
     static constexpr std::size_t EvidenceCount = 6;
     static constexpr std::size_t AgeClasses = 12;
 
-    /// Sums that fade, so that the figures follow the engines' memory pressure.
+    /// Exponentially decayed sums, so that the statistics follow the engines' memory pressure.
     struct Cell
     {
         double fractions = 0;
--- a/src/vanilladyke/policy/hot_prefixes.cpp
+++ b/src/vanilladyke/policy/hot_prefixes.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-/// Rates are averages over about this long: a shift shows within seconds, one burst does not.
+/// Time constant of the rates: follows a shift within seconds and smooths out a single burst.
 constexpr double MemorySeconds = 5;
-/// A home should be full to this part at most, so that its queue stays short.
+/// Target utilization of a preferred engine, low enough to keep its queue short.
 constexpr double WantedUse = 0.6;
-/// A home is given up only when the others would stay below this part: between the two marks the
-/// number stays as it is, or each change would throw away a warm cache.
+/// A preferred engine is removed only if the others stay below this utilization. The hysteresis
+/// between the two bounds avoids discarding a warm cache on each small change of the rate.
 constexpr double UseAfterLeaving = 0.4;
 constexpr double MostHomes = 4096;
 
@@ -47,7 +47,7 @@
     return found == m_tracked.end() ? 1 : found->second.homes;
 }
 
-/// Drops the colder half in one pass, so that the cost per request stays small.
+/// Evicts the less used half in one pass, so that the amortized cost per request stays small.
 void HotPrefixes::makeRoom(TimePoint now)
 {
     std::vector<double> work;
--- a/src/vanilladyke/policy/placement.cpp
+++ b/src/vanilladyke/policy/placement.cpp
@@ -8,24 +8,24 @@
 
 namespace {
 
-/// Holders of the longest prefixes that are weighed.
+/// Holders of the longest prefixes that become candidates.
 constexpr std::size_t HolderCandidates = 6;
-/// Engines of the rendezvous order that are weighed beyond the homes: where a full home spills.
+/// Candidates from the rendezvous order after the preferred ones: the overflow of a full engine.
 constexpr std::uint32_t SpillCandidates = 2;
 constexpr std::uint32_t MostHomeCandidates = 8;
-/// Two at random find an idle engine nearly as well as all, and keep the number bounded.
+/// Two random choices find an idle engine nearly as well as a full scan, at bounded cost.
 constexpr std::size_t RandomCandidates = 2;
-/// Costs this close are the same as far as lagged reports can tell.
+/// Cost differences within these bounds are below the accuracy of delayed load reports.
 constexpr double NearTieFraction = 0.05;
 constexpr double NearTieSeconds = 0.002;
-/// What another engine must save before a request leaves the one that has most of its prefix.
+/// Saving required before a request moves away from the engine with most of its prefix cached.
 constexpr double StayFraction = 0.10;
 constexpr double StaySeconds = 0.005;
-/// Of the time that the deadline leaves, what the predicted wait for a slot may take; the rest is
-/// for what the prediction misses.
+/// Fraction of the time left before the deadline that the predicted slot wait may use; the rest
+/// covers prediction errors.
 constexpr double SlotWaitPart = 0.5;
 
-/// A least wait of this length adds 1 to the price of recomputing; see docs/DECISIONS.md.
+/// Wait at the least loaded candidate that adds 1 to the recompute weight; see docs/DECISIONS.md.
 constexpr double BusySeconds = 0.1;
 
 double seconds(Duration span)
@@ -38,7 +38,7 @@
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(length));
 }
 
-/// Gathers candidates, each engine once.
+/// Collects candidates, each engine once.
 class Candidates
 {
 public:
@@ -49,7 +49,7 @@
         , m_survival(knowledge.survival)
     {}
 
-    /// Adds the engine or, if it is there, beliefs that promise more.
+    /// Adds the engine. If it is already there, keeps the estimates with more expected tokens.
     void add(std::size_t engine, std::vector<Belief> beliefs)
     {
         if (!serves(m_fleet.engines[engine], m_request.model) || excluded(engine)) {
@@ -106,7 +106,8 @@
     return beliefs;
 }
 
-/// An entry of another incarnation must not count, even if the view has not heard of the new one.
+/// Ignores entries of another incarnation, even if the view has not received the new one yet: the
+/// restarted engine has lost its cache.
 void addHolders(const Fleet &fleet, const PlacementKnowledge &knowledge, Candidates &candidates)
 {
     std::size_t added = 0;
@@ -122,8 +123,8 @@
     }
 }
 
-/// The homes of the shared prefix, and among them the one of its deepest level: so the prefixes
-/// below a hot one divide its homes among themselves.
+/// Adds the preferred engines of the shared prefix. One of them is selected by the deepest shared
+/// level, so that the longer prefixes under a hot one are divided among its preferred engines.
 void addHomes(const PlacementRequest &request, const Fleet &fleet, const ModelEngines &engines,
               const PlacementKnowledge &knowledge, Candidates &candidates)
 {
@@ -132,7 +133,8 @@
         return;
     }
     const std::uint32_t homes = std::min(knowledge.homes, MostHomeCandidates);
-    // Where the view knows a holder, its silence about a home means that the home lost the prefix.
+    // If the view has a holder of the prefix, a preferred engine without an entry has most likely
+    // evicted it.
     const auto &holders = knowledge.holders;
     const bool seen = !holders.empty() && holders.front().longest().tokens >= levels->shared.tokens;
     const std::vector<std::uint32_t> order =
@@ -166,8 +168,8 @@
     }
 }
 
-/// When most engines are excluded, the few candidates may all be among them while another engine is
-/// free; a request must not be refused for that. Rare, so that its cost of O(engines) is no matter.
+/// Adds all engines; O(engines). Used only if every regular candidate is excluded, so that a
+/// request is not refused while another engine is available.
 void addAll(const ModelEngines &engines, Candidates &candidates)
 {
     for (const RendezvousMember &member : engines.members) {
@@ -175,7 +177,7 @@
     }
 }
 
-/// The prefill, or the import of what the store has where that is sooner.
+/// Predicts the prefill time, with an import from the kept-cache store where that is faster.
 void predictPrefill(Candidate &candidate, const PlacementRequest &request, const KeptPrefix &kept,
                     double tokensPerSecond)
 {
@@ -236,9 +238,9 @@
            && candidate.expectedCachedTokens >= best.expectedCachedTokens;
 }
 
-/// Whom the request may go to: all, unless the cheapest most likely has no slot in time. Then only
-/// those that have one, and that compute the prefix without making others wait or need not compute
-/// it; otherwise a fleet at its limit spends its time on computing prefixes everywhere.
+/// Candidates that may be selected: all, unless the cheapest one is unlikely to have a slot in
+/// time. Then only candidates with a timely slot that have no queue or have the prefix cached;
+/// otherwise a saturated fleet would spend its capacity on recomputing prefixes on every engine.
 std::vector<Candidate> eligible(const std::vector<Candidate> &candidates, const Candidate &cheapest)
 {
     if (!cheapest.isLate) {
--- a/src/vanilladyke/policy/placement_policy.cpp
+++ b/src/vanilladyke/policy/placement_policy.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-/// The part of an engine that one request takes: its new tokens, or its slot if that is more.
+/// Engine time used by one request: the prefill of its uncached tokens or, if larger, its share of
+/// the slots during decode.
 Duration engineTime(const PlacementRequest &request, std::uint32_t sharedTokens,
                     const EngineView &engine)
 {
--- a/src/vanilladyke/policy/placement_test.cpp
+++ b/src/vanilladyke/policy/placement_test.cpp
@@ -36,7 +36,7 @@
     return fleet;
 }
 
-/// A guide that others share and a question of its own.
+/// A request with a shared prefix and a message of its own.
 PlacementRequest requestFor(std::uint64_t guide, std::uint64_t question)
 {
     PlacementRequest request;
@@ -66,9 +66,9 @@
     EXPECT_GT(placement.winner->expectedCachedTokens, GuideTokens * 9 / 10);
 }
 
-// The engine that has the guide is slow and a queue has grown there. A caller that is sent to it
-// all the same waits for seconds, though any other engine would have computed the guide sooner.
-TEST(Placement, LeavesAHolderWhoseQueueCostsMoreThanTheGuide)
+// Guards against prefix affinity that ignores load: the holder has a prefill backlog of seconds,
+// while any other engine would prefill the shared prefix sooner.
+TEST(Placement, LeavesAHolderWhoseQueueCostsMoreThanThePrefix)
 {
     Fleet fleet = fleetOf(12);
     fleet.engines[5].load.queuedPrefillTokens = 60'000;
@@ -93,9 +93,9 @@
     EXPECT_EQ(computed.winner->importedTokens, 0U);
 }
 
-// A node is replaced and starts with an empty view while the others go on. If it chose by load, the
-// guide would be computed again on one engine after the other, and its callers would wait for it.
-TEST(Placement, ARestartedNodeSendsAGuideWhereTheOthersDo)
+// Guards against placement by load alone on a restarted node, whose cache view is empty: it would
+// have a shared prefix recomputed on engines that do not have it.
+TEST(Placement, ARestartedNodePlacesAPrefixLikeTheOthers)
 {
     const Fleet fleet = fleetOf(18);
     for (std::uint64_t guide = 1; guide <= 50; ++guide) {
@@ -109,10 +109,10 @@
     }
 }
 
-// Nine nodes read the same report, in which one engine is idle and the others have a short queue,
-// and each gets two prompts before the next report. If all of them chose the idle engine, their
-// callers would queue behind each other there.
-TEST(Placement, NineNodesDoNotAllRunToTheEngineThatWasIdle)
+// Guards against herding: nine nodes have the same load report, in which one engine is idle and the
+// others have a short queue, and each node places two prompts before the next report. If all chose
+// the idle engine, the requests would queue there.
+TEST(Placement, NineNodesDoNotAllChooseTheIdleEngine)
 {
     Fleet fleet = fleetOf(12);
     fleet.liveNodes = 9;
@@ -136,8 +136,8 @@
     }
 }
 
-// A burst arrives at one node between two reports. Without its own count the node would send all of
-// it to the engine that was idle when it reported.
+// Guards against placing a burst from a stale report: without counting its own requests, a node
+// would send all of the burst to the engine that was idle in the last report.
 TEST(Placement, ABurstBetweenTwoReportsIsSpread)
 {
     Fleet fleet = fleetOf(12);
@@ -175,9 +175,9 @@
     EXPECT_EQ(none.reason, "no_engine");
 }
 
-// The fleet is nearly full: of 100 engines all but one are closed to this node, and none of the few
-// that are looked at first is the open one. A caller must not be refused while an engine is free.
-TEST(Placement, TheOnlyOpenEngineIsFound)
+// Guards against refusing a request while an engine is available: all but one of 100 engines are
+// excluded, and the regular candidates do not contain the remaining one.
+TEST(Placement, TheOnlyAvailableEngineIsFound)
 {
     const Fleet fleet = fleetOf(100);
     Random random(1);
@@ -206,8 +206,8 @@
     }
 }
 
-// An engine has died and come back between the news that a holder rests on and the decision. The
-// prefix must not be expected there, or the caller waits for work that nobody has.
+// Guards against using cache entries of an engine that has restarted since: its cache is empty, so
+// the request would wait for a full prefill that the prediction left out.
 RC_GTEST_PROP(Placement, NeverCountsAnotherIncarnation, (std::uint64_t seed))
 {
     Fleet fleet = fleetOf(6);
@@ -226,8 +226,8 @@
     }
 }
 
-// Two customers send the very same text, and so does one customer after new weights. What is cached
-// for the one must never be expected for the other.
+// Guards against sharing cache entries across customers or weights versions: identical text of
+// another customer, or under other weights, must not match.
 RC_GTEST_PROP(Placement, NeverCountsAnotherCustomersOrOlderWeightsEntries,
               (const std::string &text))
 {
@@ -247,7 +247,7 @@
     RC_ASSERT(view.holders(chainFor("brand", "w2"), {}).empty());
 }
 
-TEST(Explain, TellsCandidatesCostsWinnerAndWhy)
+TEST(Explain, ShowsCandidatesCostsWinnerAndReason)
 {
     const Fleet fleet = fleetOf(12);
     Random random(1);
--- a/src/vanilladyke/policy/rendezvous.cpp
+++ b/src/vanilladyke/policy/rendezvous.cpp
@@ -10,11 +10,11 @@
 
 struct GroupScore
 {
-    double score = 0; ///< the least comes first
+    double score = 0; ///< ascending order
     std::uint32_t group = 0;
 };
 
-/// An exponential variate divided by the group's size: each engine gets the same share.
+/// An exponential variate divided by the group's size, so that each engine gets the same share.
 double scoreOf(const ChainHash &prefix, std::uint32_t group, std::uint32_t size)
 {
     constexpr double Scale = 1.0 / 9007199254740992.0; // 2^-53
@@ -68,7 +68,7 @@
     if (chain.empty()) {
         return std::nullopt;
     }
-    // The last message is the caller's own question; the ones before it are what prompts share.
+    // The last message is specific to the request; the ones before it can be shared by prompts.
     SharedLevels levels{chain.front(), chain.front()};
     std::uint32_t longest = 0;
     std::uint32_t before = 0;
--- a/src/vanilladyke/policy/rendezvous_test.cpp
+++ b/src/vanilladyke/policy/rendezvous_test.cpp
@@ -32,7 +32,7 @@
     return rendezvousOrder(*index.serving(ModelId("copy")), hash, 3);
 }
 
-TEST(Rendezvous, GivesEachEngineAboutTheSameShareOfHomes)
+TEST(Rendezvous, EachEngineIsPreferredForAboutTheSameShareOfPrefixes)
 {
     const std::vector<EngineView> engines = enginesOf(18);
     const FleetIndex index(engines);
@@ -47,8 +47,8 @@
     }
 }
 
-// One of 18 engines dies. Only the prefixes that lived there may move: callers of all others must
-// not notice, or each loss of an engine would cool every cache.
+// Guards against a full reshuffle when an engine fails: only the prefixes of the failed engine may
+// move, or each loss of an engine would invalidate every cache.
 TEST(Rendezvous, ALostEngineMovesOnlyItsOwnPrefixes)
 {
     const std::vector<EngineView> all = enginesOf(18);
@@ -78,7 +78,7 @@
     }
 }
 
-TEST(SharedLevels, AreTheLongestMessageAndTheLastBeforeTheQuestion)
+TEST(SharedLevels, AreTheLongestMessageAndTheOneBeforeTheLast)
 {
     const PrefixChain chain{{hashOf(1), 500, true},
                             {hashOf(2), 1000, false},
--- a/src/vanilladyke/policy/survival.cpp
+++ b/src/vanilladyke/policy/survival.cpp
@@ -7,12 +7,13 @@
 
 namespace {
 
-/// The first age class ends here; each further one is twice as wide.
+/// Upper bound of the first age class; each further bound is twice the previous one.
 constexpr Duration FirstClass = std::chrono::milliseconds(125);
 constexpr double HalfLifeSeconds = 20;
-/// Answers that the prior counts for: few, so that it gives way within a second of traffic.
+/// Weight of the prior in answers: low, so that measurements outweigh it within a second of
+/// traffic.
 constexpr double PriorWeight = 4;
-/// Kept of a cell with each new answer: about the last 100 answers count.
+/// Decay factor of a cell per answer: a window of about the last 100 answers.
 constexpr double Fading = 0.99;
 
 double prior(Evidence evidence, Duration age)
