--- a/include/vanilladyke/policy/cache_view.hpp
+++ b/include/vanilladyke/policy/cache_view.hpp
@@ -9,30 +9,31 @@
 #include <unordered_map>
 #include <vector>
 
-/// What this node believes each engine to hold in its prefix cache.
+/// A node's view of the engines' prefix caches.
 ///
 /// Load pattern: prompts share long prefixes, and engines evict them within seconds. Without a
-/// view a request goes to an engine that has to compute the whole prompt anew. The view is a
-/// fixed table of 32-byte entries in sets of 16; a full set gives up an entry that no longer
-/// counts, else the one learned longest ago, because an engine evicts in that order too. A wrong
-/// entry costs time and never a wrong answer: the whole prompt is sent all the same.
+/// view, requests go to engines that have to prefill the whole prompt. The view is a 16-way
+/// set-associative table of 32-byte entries. A full set evicts an invalid entry or else the least
+/// recently updated one, since engines evict in that order too. A wrong entry costs time but never
+/// correctness: the whole prompt is always sent.
 namespace vanilladyke {
 
-/// @brief A prefix up to some cut, and how old the news of it is.
+/// @brief A cached prefix and the age of the last update on it.
 struct KnownLength
 {
     std::uint32_t tokens = 0;
-    Duration age{};      ///< since it was learned
-    bool trusted = true; ///< false if news of the engine got lost since
+    Duration age{};      ///< since the update was received
+    bool trusted = true; ///< false if updates of the engine have been lost since
 };
 
-/// @brief An engine that is believed to hold a prefix.
+/// @brief An engine with a cached prefix, according to the view.
 ///
-/// The beginning of a prefix is asked for more often than its end, so the news of it is fresher.
-/// Lengths stand longest first; a shorter one is given where its news is at most half as old.
+/// The beginning of a prefix is requested more often than its end, so updates on it are more
+/// recent. Lengths are ordered longest first; a shorter one is listed only if its update is at most
+/// half as old as that of the next longer one, or trusted where the longer one is not.
 struct PrefixHolder
 {
-    /// @brief Four halvings tell 16 s from 1 s; finer steps would not change a choice.
+    /// @brief Four halvings of the age span 16 s to 1 s; finer steps would not change a placement.
     static constexpr std::size_t MostLengths = 4;
 
     EngineKey engine{};
@@ -40,58 +41,59 @@
     std::array<KnownLength, MostLengths> lengths{};
     std::size_t lengthCount = 0;
 
-    /// @brief The longest prefix known there.
+    /// @brief The longest cached prefix.
     [[nodiscard]] const KnownLength &longest() const { return lengths.front(); }
-    /// @brief Takes in a shorter length, if its news is much fresher.
+    /// @brief Adds a shorter length if its update is at most half as old or newly trusted.
     void add(const KnownLength &shorter);
 };
 
-/// @brief One entry as another node takes it over.
+/// @brief One entry of the view, as transferred to another node.
 struct CacheEntry
 {
     EngineKey engine{};
     Incarnation incarnation{};
     ChainHash hash;
-    Duration age{}; ///< since it was learned
+    Duration age{}; ///< since the update was received
 
     bool operator==(const CacheEntry &) const = default;
 };
 
-/// @brief Some entries of a view, and where the next ones start; 0 if there are none.
+/// @brief A page of entries and the position of the next page; 0 if there is none.
 struct CachePiece
 {
     std::vector<CacheEntry> entries;
     std::size_t next = 0;
 };
 
-/// @brief A bounded table of (engine, incarnation, prefix).
+/// @brief Fixed-size table of (engine, incarnation, prefix).
 class CacheView
 {
 public:
-    /// @brief Memory of one entry.
+    /// @brief Size of one entry in bytes.
     static constexpr std::size_t EntryBytes = 32;
-    /// @brief Holders that one lookup gives at most; more add no choice worth its time.
+    /// @brief Maximum holders per lookup; more would not improve placement.
     static constexpr std::size_t MostHolders = 12;
 
-    /// @param bytes memory of the table; rounded down to a power of two of sets, one at least
+    /// @param bytes size of the table; rounded down to a power-of-two number of sets, at least one
     explicit CacheView(std::size_t bytes);
 
-    /// @brief The engine lives in this incarnation; what an earlier one held counts no more.
+    /// @brief Sets the engine's current incarnation; invalidates entries of earlier ones.
     void setIncarnation(EngineKey engine, Incarnation incarnation, TimePoint now);
-    /// @brief The engine is gone; all of its entries count no more.
+    /// @brief Removes the engine; invalidates all of its entries.
     void forget(EngineKey engine);
-    /// @brief News of the engine got lost: an eviction may have been among them.
+    /// @brief Records that updates of the engine were lost, possibly evictions: entries received
+    /// before now are reported as not trusted.
     void distrust(EngineKey engine, TimePoint now);
-    /// @brief The engine holds the prefix. Ignored for an incarnation that isn't the present one.
+    /// @brief Records that the engine cached the prefix. Ignored unless the incarnation is current.
     void stored(EngineKey engine, Incarnation incarnation, const ChainHash &hash, TimePoint now);
     void evicted(EngineKey engine, Incarnation incarnation, const ChainHash &hash);
 
-    /// @brief Adds what is known of one cut, which is shorter than those added before.
+    /// @brief Adds the holders of one cut; cuts must be passed in descending length.
     void addHolders(const PrefixCut &cut, TimePoint now, std::vector<PrefixHolder> &holders) const;
-    /// @brief Engines with the longest prefix known of each, longest first; O(cuts).
-    /// @brief Up to @p most entries that count, from place @p from on, for another node to take
-    /// over.
+    /// @brief Returns up to @p most valid entries from position @p from on, for transfer to
+    /// another node.
     [[nodiscard]] CachePiece entries(std::size_t from, std::size_t most, TimePoint now) const;
+    /// @brief Returns engines with their longest cached prefix, longest first; O(cuts).
     [[nodiscard]] std::vector<PrefixHolder> holders(const PrefixChain &chain, TimePoint now) const;
 
 private:
@@ -101,7 +103,7 @@
     {
         ChainHash hash;
         std::uint32_t engine = 0; ///< index into m_engines
-        std::uint32_t life = 0;   ///< counts only if it is the engine's; 0 is never one
+        std::uint32_t life = 0;   ///< valid only if equal to the engine's; 0 is always invalid
         TimePoint learnedAt;
     };
     static_assert(sizeof(Entry) == EntryBytes);
--- a/src/vanilladyke/policy/cache_view.cpp
+++ b/src/vanilladyke/policy/cache_view.cpp
@@ -68,7 +68,7 @@
     }
     const auto slot = static_cast<std::uint32_t>(known - m_engines.data());
     Entry *entry = place(hash, slot);
-    // A peer's entry may be older than what this node has learned itself.
+    // An entry from a peer may be older than the one that this node already has.
     const bool held = entry->hash == hash && entry->engine == slot && counts(*entry);
     if (held && entry->learnedAt >= now) {
         return;
@@ -164,7 +164,7 @@
     return present ? &m_engines[found->second] : nullptr;
 }
 
-/// The engine's own entry of this prefix, else one that counts no more, else the oldest.
+/// Selects the engine's existing entry of this prefix, else an invalid entry, else the oldest.
 CacheView::Entry *CacheView::place(const ChainHash &hash, std::uint32_t engine)
 {
     Entry *best = nullptr;
--- a/src/vanilladyke/policy/cache_view_test.cpp
+++ b/src/vanilladyke/policy/cache_view_test.cpp
@@ -52,7 +52,7 @@
     EXPECT_EQ(holders[1].longest().tokens, 1024U);
 }
 
-TEST(CacheView, TellsHowMuchFresherTheNewsOfTheBeginningIs)
+TEST(CacheView, ReportsShorterPrefixesWithNewerUpdates)
 {
     CacheView view(1U << 16U);
     view.setIncarnation(One, First, at(0));
@@ -70,8 +70,8 @@
     EXPECT_EQ(holders[0].lengths[1].age, seconds(2));
 }
 
-// An engine crashes and comes back empty under a new incarnation. Were its old entries kept, its
-// callers would wait for whole prompts to be computed by an engine chosen for its warm cache.
+// Guards against routing to a restarted engine for entries of its previous incarnation: its cache
+// is empty, so it would prefill whole prompts.
 TEST(CacheView, ANewIncarnationHoldsNothingOfTheOldOne)
 {
     CacheView view(1U << 16U);
@@ -83,9 +83,9 @@
     EXPECT_TRUE(view.holders(chainOf(1, 1), at(3)).empty());
 }
 
-// The stream of an engine's cache events loses some, perhaps an eviction. What was known before is
-// used with less faith until it is seen again; a caller notices no more than a slower first token.
-TEST(CacheView, EntriesFromBeforeAGapAreDoubted)
+// Guards against relying on entries after a gap in the engine's cache events, which may have hidden
+// an eviction: they are not trusted until the engine reports them again.
+TEST(CacheView, EntriesFromBeforeAGapAreNotTrusted)
 {
     CacheView view(1U << 16U);
     view.setIncarnation(One, First, at(0));
@@ -96,7 +96,7 @@
     EXPECT_TRUE(view.holders(chainOf(1, 1), at(5)).at(0).longest().trusted);
 }
 
-TEST(CacheView, AFullSetGivesUpTheOldestEntry)
+TEST(CacheView, AFullSetEvictsTheOldestEntry)
 {
     CacheView view(1); // one set of 16
     view.setIncarnation(One, First, at(0));
@@ -108,9 +108,9 @@
     EXPECT_EQ(view.holders(chainOf(17, 1), at(20)).size(), 1U);
 }
 
-// Engines crash, come back and are lost in any order while events of every life still arrive. A
-// holder must always be the engine's present life and something that this life stored and has not
-// evicted, or a caller waits for work that nobody has.
+// Guards against holders from a past incarnation while engines crash, restart and are removed in
+// any order and events of every incarnation still arrive: each holder must have the engine's
+// current incarnation and a prefix that it stored and has not evicted.
 RC_GTEST_PROP(CacheView, NeverCountsADeadIncarnation,
               (const std::vector<std::tuple<std::uint8_t, std::uint8_t, std::uint8_t>> &steps))
 {
