--- a/include/vanilladyke/policy/append_pacer.hpp
+++ b/include/vanilladyke/policy/append_pacer.hpp
@@ -4,31 +4,33 @@
 
 #include <cstdint>
 
-/// Paces one node's appends to the log.
+/// Rate limit of a node's appends to the log.
 ///
-/// Load pattern: bursts of calls that each need a record in a log that takes a few hundred appends
-/// a second from all nodes together. Without pacing each node appends as fast as the log answers,
-/// the log refuses, and all calls wait for retries. Every node gets an equal share of the budget,
-/// saved up for a few appends, so that a lone call never waits and a burst is grouped.
+/// Load pattern: bursts of calls that each need a record in a log that accepts a few hundred
+/// appends per second from all nodes together. Without a limit, each node appends as fast as the
+/// log answers, the log refuses appends, and all calls wait for retries. Every node has an equal
+/// share of the budget and can save up a few appends, so that a single call never waits and a burst
+/// is batched.
 namespace vanilladyke {
 
-/// @brief Appends a second that all nodes together spend on claims. The log takes several hundred;
-/// the rest is left for bundles and for retries.
+/// @brief Appends per second that all nodes together may use for claims. The log accepts several
+/// hundred; the rest is left for bundles and retries.
 inline constexpr double AppendsPerSecond = 150;
-/// @brief Appends that a node that was quiet may make at once.
+/// @brief Appends that an idle node may make at once.
 inline constexpr double AppendBurst = 4;
-/// @brief Pauses after a failed append, doubled each time.
+/// @brief Back-off after a failed append, doubled on each further failure up to the maximum.
 inline constexpr Duration FirstAppendPause = std::chrono::milliseconds(25);
 inline constexpr Duration LongestAppendPause = std::chrono::milliseconds(400);
 
-/// @brief A token bucket for appends, with a growing pause after failures.
+/// @brief Token bucket for appends, with exponential back-off after failures.
 class AppendPacer
 {
 public:
+    /// @brief Divides the budget by the number of live nodes.
     void share(std::uint32_t liveNodes);
-    /// @brief Takes the right to append once. @return false if it is too early
+    /// @brief Takes a token for one append. @return false if none is available yet
     [[nodiscard]] bool take(TimePoint now);
-    /// @brief When take() will grant the right, if nothing fails until then.
+    /// @brief When take() will succeed, unless an append fails before.
     [[nodiscard]] TimePoint readyAt() const;
     void succeeded() { m_pause = Duration::zero(); }
     void failed(TimePoint now);
--- a/include/vanilladyke/policy/claim_fold.hpp
+++ b/include/vanilladyke/policy/claim_fold.hpp
@@ -10,61 +10,62 @@
 #include <unordered_map>
 #include <vector>
 
-/// The meaning of the stream "claims": a pure fold over its records, the same at every node.
+/// State of the stream "claims": a pure fold over its records, with the same result at every node.
 ///
-/// The first claim of a key in log order alone may send, whoever pauses or dies; nobody takes over.
-/// Only the owner itself can free the key again, by a release, and a release is a promise that
-/// nothing was sent under the claim. So there is at most one sender, whatever is repeated, lost or
-/// delayed.
+/// Only the first claim of a key in log order permits sending, and no other node takes over if its
+/// owner pauses or fails. Only the owner can free the key, by a release, which guarantees that
+/// nothing was sent under the claim. So there is at most one sender, whichever records are
+/// repeated, lost or delayed.
 namespace vanilladyke {
 
-/// @brief How far a key has come.
+/// @brief Stage of a key.
 enum class ClaimStage {
     Claimed,  ///< the owner may send, or has sent
-    Released, ///< the owner sent nothing and never will
-    Settled,  ///< the owner sent, and told what came of it
+    Released, ///< the owner sent nothing and never will send
+    Settled,  ///< the owner sent and recorded the outcome
 };
 
-/// @brief One key.
+/// @brief State of one key.
 struct ClaimEntry
 {
     ClaimStage stage = ClaimStage::Claimed;
     ClaimNonce owner;
     NodeId node;
-    RequestDigest request; ///< of the first claim; it binds all later ones
+    RequestDigest request; ///< of the first claim; later claims must have the same
     std::vector<ClaimNonce> released;
     std::optional<ClaimOutcome> outcome;
 
     bool operator==(const ClaimEntry &) const = default;
 };
 
-/// @brief Releases after which a key can't be claimed again, so that one key's entry stays small.
+/// @brief Releases after which a key cannot be claimed again; bounds the size of its entry.
 inline constexpr std::size_t MostReleases = 8;
 
-/// @brief How far the clocks of callers, nodes and the log may be apart.
+/// @brief Maximum difference between the clocks of callers, nodes and the log.
 ///
-/// Hosts keep time by NTP to milliseconds; seconds leave room for a host whose daemon has stopped.
+/// Hosts are synchronized by NTP to milliseconds; 5 s allows for a host whose NTP daemon has
+/// stopped.
 inline constexpr Duration ClockSkew = std::chrono::seconds(5);
 
-/// @brief All keys of the claim window.
+/// @brief The keys of the claim window.
 class ClaimFold
 {
 public:
-    /// @brief Takes the records of one offset; offsets come in order, each once.
+    /// @brief Applies the records of one offset; offsets must be passed in order, each once.
     void apply(std::uint64_t offset, const ClaimBatch &batch);
-    /// @brief The entry of a key; null if no claim of it is known.
+    /// @brief Returns the entry of a key; null if no claim of it has been applied.
     [[nodiscard]] const ClaimEntry *find(const ClaimKey &key) const;
 
-    /// @brief The offset that is applied next.
+    /// @brief The offset to apply next.
     [[nodiscard]] std::uint64_t next() const { return m_next; }
-    /// @brief Goes on at a later offset, because the records before it are not to be had.
-    /// @param keysFrom claims of keys made before this may be among the missing ones
+    /// @brief Continues at a later offset because the records before it are not available.
+    /// @param keysFrom claims of keys created before this may be among the missing records
     void skipTo(std::uint64_t offset, WallTime keysFrom);
 
-    /// @brief Drops the keys made before a time; from then on they are not covered.
+    /// @brief Drops the keys created before a time; they are no longer covered.
     void forgetBefore(WallTime keyTime);
-    /// @brief Whether every claim of the key up to next() is known: if not, it must be refused,
-    /// since an earlier claim may have been missed or forgotten.
+    /// @brief Whether all claims of the key before next() have been applied and retained. If not,
+    /// the key must be refused, since an earlier claim may have been missed or dropped.
     [[nodiscard]] bool covers(const UuidV7 &key) const { return key.time() >= m_keysFrom; }
 
     [[nodiscard]] std::size_t size() const { return m_entries.size(); }
@@ -80,28 +81,29 @@
     std::uint64_t m_next = 0;
     WallTime m_keysFrom = WallTime::min();
     std::unordered_map<ClaimKey, ClaimEntry> m_entries;
-    std::multimap<WallTime, ClaimKey> m_byAge; ///< by the keys' own times
+    std::multimap<WallTime, ClaimKey> m_byAge; ///< by the keys' timestamps
     std::multimap<WallTime, ClaimKey> m_withAnswer;
     std::size_t m_answerBytes = 0;
 };
 
-/// @brief Answers kept over all keys; beyond this the answers of the oldest keys are dropped, and
-/// their repeats hear that the call ran but its answer is gone.
+/// @brief Maximum size of the kept answers of all keys; beyond it, the answers of the oldest keys
+/// are dropped and their repeats are refused as run, with the answer no longer available.
 inline constexpr std::size_t MostAnswerBytesKept = 32U << 20U;
 
-/// @brief What the age of a key says.
+/// @brief Result of the check of a key's age.
 enum class KeyAge { Valid, Expired, Ahead };
 
-/// @brief Judges a key by its own time.
+/// @brief Checks a key's timestamp.
 /// @param window age after which a key is refused
 [[nodiscard]] KeyAge judgeAge(const UuidV7 &key, WallTime now, Duration window);
 
-/// @brief The time before which keys may be forgotten: no node accepts them any more, even one
-/// whose clock is slow.
+/// @brief The time before which keys can be dropped: no node accepts them any more, even if its
+/// clock is slow.
 [[nodiscard]] WallTime forgettableBefore(WallTime now, Duration window);
 
-/// @brief For a reader that starts at a record appended at @p appendedAt: claims of keys made
-/// later than the result can't stand before that record, since keys from the future are refused.
+/// @brief The time from which on keys are covered for a reader that starts at a record appended at
+/// @p appendedAt. Claims of later keys cannot precede that record, since keys dated in the future
+/// are refused.
 [[nodiscard]] WallTime coveredFrom(WallTime appendedAt);
 
 } // namespace vanilladyke
--- a/include/vanilladyke/policy/claim_ledger.hpp
+++ b/include/vanilladyke/policy/claim_ledger.hpp
@@ -11,60 +11,62 @@
 #include <variant>
 #include <vector>
 
-/// One node's part in calls that may not be repeated: it claims keys in the log, tells which calls
-/// may be sent, and records what became of them. Pure: time and answers of the log come in.
+/// A node's claims for calls that must not be repeated: appends claims of keys to the log, decides
+/// which calls may be sent, and records their outcomes. Performs no I/O and reads no clock: time
+/// and the log's answers are passed in.
 namespace vanilladyke {
 
-/// @brief Both clocks at one moment.
+/// @brief Readings of the monotonic and the wall clock, taken together.
 struct Moment
 {
     TimePoint now;
     WallTime wall;
 };
 
-/// @brief Names one waiting call inside this node.
+/// @brief Identifies a waiting call within this node.
 enum class ClaimTicket : std::uint64_t {};
 
-/// @brief A call that wants to be sent at most once.
+/// @brief A call to be sent at most once.
 struct ClaimRequest
 {
     ClaimTicket ticket{};
     ClaimKey key;
     RequestDigest request;
     TimePoint deadline;
-    bool repeat = false; ///< the caller says that it may have sent the key before
+    bool repeat = false; ///< the caller indicates that it may have sent the key before
 };
 
-/// @brief What a refusal says of a call that this node did not send.
+/// @brief What a refusal states about a call that this node did not send.
 ///
-/// An earlier try may be under way at another node and be sent yet, so a caller that repeats a key
-/// hears "unknown": told "not run" it would book again under a new key. Repeating the key is safe.
+/// An earlier attempt may be in progress at another node and may still be sent, so a repeated key
+/// yields "unknown": on "not run" the caller would repeat the call under a new key and could run it
+/// twice. Repeating the same key is safe.
 [[nodiscard]] Ran ranOfUnsent(const ClaimRequest &request);
 
-/// @brief The call may be sent, once, if its deadline has not passed. Must be settled afterwards.
+/// @brief The call may be sent, once, if its deadline has not passed. settle() must follow.
 struct MaySend
 {
     ClaimNonce nonce;
 };
 
-/// @brief May be sent, the answer of an earlier call with the key, or a refusal.
+/// @brief Permission to send, the answer of an earlier call with the key, or a refusal.
 using ClaimVerdict = std::variant<MaySend, ClaimOutcome, Refusal>;
 
-/// @brief A verdict and whom it is for.
+/// @brief The verdict on a waiting call.
 struct ClaimDecision
 {
     ClaimTicket ticket{};
     ClaimVerdict verdict;
 };
 
-/// @brief What is known of an append once its call to the log has ended.
+/// @brief Result of an append after its call to the log has ended.
 enum class AppendResult {
     Done,
-    NotDone, ///< it has not happened, for sure
-    InDoubt, ///< it may have happened, or may still happen
+    NotDone, ///< certainly not written
+    InDoubt, ///< may have been written, or may still be
 };
 
-/// @brief The records of one offset.
+/// @brief The records at one offset of the log.
 struct ClaimLogRecord
 {
     std::uint64_t offset = 0;
@@ -72,17 +74,17 @@
     ClaimBatch batch;
 };
 
-/// @brief What a read of the log brought.
+/// @brief Result of a read of the log.
 struct ClaimPage
 {
     TimePoint askedAt;             ///< when the read began
-    std::uint64_t firstOffset = 0; ///< the oldest that the log still has
-    std::uint64_t nextOffset = 0;  ///< what the next append will get
+    std::uint64_t firstOffset = 0; ///< the oldest offset that the log retains
+    std::uint64_t nextOffset = 0;  ///< the offset of the next append
     std::vector<ClaimLogRecord> records;
 };
 
-/// @brief How long a call waits for its claim to get into the log. Shorter than most callers'
-/// deadlines, so that an outage of the log is told in time to do something else.
+/// @brief How long a call waits for its claim to be written to the log. Shorter than most callers'
+/// deadlines, so that callers can react to an outage of the log in time.
 inline constexpr Duration ClaimPatience = std::chrono::seconds(2);
 inline constexpr std::size_t MostRecordsPerAppend = 512;
 inline constexpr std::size_t MostBytesPerAppend = 256U << 10U;
@@ -93,35 +95,38 @@
 public:
     ClaimLedger(ProcessId process, NodeId node);
 
-    /// @brief The bundle's claim window, and the nodes that share the log's appends.
+    /// @brief Sets the bundle's claim window and the number of nodes that share the append budget.
     void configure(Duration window, std::uint32_t liveNodes);
 
+    /// @brief Adds a call; its verdict is returned by takeDecisions().
     void ask(const ClaimRequest &request, Moment at);
-    /// @brief The caller is gone or the node gives up waiting; nothing was sent.
+    /// @brief Removes a waiting call, of which nothing was sent: the caller has disconnected or the
+    /// node has stopped waiting.
     void abandon(ClaimTicket ticket);
-    /// @brief The sender tells what came of it, or, by a ClaimRelease, that nothing was sent.
+    /// @brief Records the outcome of a permitted call or, as a ClaimRelease, that nothing was sent.
     void settle(const ClaimRecord &record);
 
-    /// @brief What to append now; one append is under way at a time.
+    /// @brief Returns the batch to append now; at most one append is in progress at a time.
     [[nodiscard]] std::optional<ClaimBatch> nextBatch(Moment at);
-    /// @brief When something that waits may be appended; none if nothing waits or may go now.
+    /// @brief When queued records may be appended; none if none are queued, the log has not been
+    /// read yet or an append is in progress.
     [[nodiscard]] std::optional<TimePoint> nextAppendAt() const;
-    /// @brief How the append of the batch ended.
-    /// @param offset where it stands if it is done
+    /// @brief Records the result of the append.
+    /// @param offset where the batch was written, if Done
     void appended(AppendResult result, std::uint64_t offset, Moment at);
-    /// @brief Takes what a read brought.
+    /// @brief Applies the result of a read.
     void read(const ClaimPage &page, Moment at);
-    /// @brief Looks at deadlines and forgets old keys.
+    /// @brief Checks deadlines and drops old keys.
     void tick(Moment at);
 
-    /// @brief The verdicts since the last call.
+    /// @brief Returns the verdicts since the last call.
     [[nodiscard]] std::vector<ClaimDecision> takeDecisions();
 
     /// @brief Whether the log has been read up to its end at least once.
     [[nodiscard]] bool ready() const { return m_readThrough.has_value(); }
-    /// @brief Whether all outcomes are in the log and no sender is at work.
+    /// @brief Whether all outcomes are in the log and no permitted call is unsettled.
     [[nodiscard]] bool idle() const;
-    /// @brief Whether a read is urgent: an append's answer was lost, or a claim waits to be seen.
+    /// @brief Whether a read is needed now: initial read, append in doubt, or calls waiting.
     [[nodiscard]] bool wantsRead() const;
     [[nodiscard]] std::uint64_t nextOffset() const { return m_fold.next(); }
     [[nodiscard]] const ClaimFold &fold() const { return m_fold; }
@@ -133,7 +138,7 @@
         ClaimNonce nonce;
         TimePoint askedAt;
         TimePoint claimBy;
-        bool seen = false; ///< its claim stands in the log
+        bool seen = false; ///< its claim has been read from the log
     };
     enum class BatchState { None, UnderWay, InDoubt };
     using Step = std::optional<ClaimVerdict>;
@@ -156,15 +161,15 @@
     ClaimFold m_fold;
     AppendPacer m_pacer;
     std::map<ClaimTicket, Waiting> m_waiting;
-    std::set<ClaimNonce> m_sending;                      ///< told MaySend and not yet settled
+    std::set<ClaimNonce> m_sending;                      ///< permitted and not yet settled
     std::map<ClaimNonce, ClaimOutcome> m_unseenOutcomes; ///< settled here, not yet in the log
     std::deque<ClaimRecord> m_queue;
-    ClaimBatch m_batch;  ///< the append under way, whole
-    ClaimBatch m_unseen; ///< what of it has not been seen in the log yet
+    ClaimBatch m_batch;  ///< the append in progress, complete
+    ClaimBatch m_unseen; ///< records of it not yet read from the log
     BatchState m_batchState = BatchState::None;
     TimePoint m_doubtSince;
-    TimePoint m_appendedAt;                 ///< when the last append was answered
-    std::optional<TimePoint> m_readThrough; ///< start of the last read that came to the end
+    TimePoint m_appendedAt;                 ///< when the last append was confirmed
+    std::optional<TimePoint> m_readThrough; ///< start of the last read that reached the end
     std::vector<ClaimDecision> m_decisions;
 };
 
--- a/include/vanilladyke/policy/claim_record.hpp
+++ b/include/vanilladyke/policy/claim_record.hpp
@@ -10,16 +10,17 @@
 #include <variant>
 #include <vector>
 
-/// What the log's stream "claims" holds: who may send a call that may not be repeated, and what
-/// became of it.
+/// Records of the log's stream "claims": which node may send a call that must not be repeated, and
+/// the outcome of the call.
 namespace vanilladyke {
 
-/// @brief A digest of method, path and body, which tells a repeat from another call.
+/// @brief A digest of method, path and body; distinguishes a repeat from a different call.
 using RequestDigest = NamedId<struct RequestDigestTag>;
-/// @brief One life of one node's process; a restart makes a new one.
+/// @brief Identifies one run of a node's process; a restart creates a new one.
 using ProcessId = NamedId<struct ProcessTag>;
 
-/// @brief Names one call for good: what the caller calls its idempotency key, in its own space.
+/// @brief Identifies a call permanently: the caller's idempotency key, scoped by customer and
+/// service.
 struct ClaimKey
 {
     CustomerId customer;
@@ -29,7 +30,7 @@
     auto operator<=>(const ClaimKey &) const = default;
 };
 
-/// @brief Tells one claim from every other. The process in it lets a node know its own again.
+/// @brief Unique id of a claim. The process part lets a node identify its own claims.
 struct ClaimNonce
 {
     ProcessId process;
@@ -38,7 +39,7 @@
     auto operator<=>(const ClaimNonce &) const = default;
 };
 
-/// @brief "I want to be the one that sends this call."
+/// @brief Requests the right to send a call.
 struct Claim
 {
     ClaimKey key;
@@ -49,7 +50,7 @@
     auto operator<=>(const Claim &) const = default;
 };
 
-/// @brief "I sent nothing under this claim and never will": the key is free for another claim.
+/// @brief States that nothing was or will be sent under the claim; frees the key for other claims.
 struct ClaimRelease
 {
     ClaimKey key;
@@ -58,14 +59,14 @@
     auto operator<=>(const ClaimRelease &) const = default;
 };
 
-/// @brief What became of a call that was sent.
+/// @brief Kind of outcome of a call that was sent.
 enum class OutcomeKind : std::uint8_t {
     Answered,       ///< the answer is kept
     AnswerTooLarge, ///< it ran, but its answer is too large to keep
-    Unknown,        ///< sent, and no answer came
+    Unknown,        ///< sent, but not answered
 };
 
-/// @brief The outcome of the call that the claim's owner sent.
+/// @brief Outcome of a call that the claim's owner sent.
 struct ClaimOutcome
 {
     ClaimKey key;
@@ -80,18 +81,18 @@
 
 using ClaimRecord = std::variant<Claim, ClaimRelease, ClaimOutcome>;
 
-/// @brief What one append carries: all that was waiting.
+/// @brief The records of one append.
 using ClaimBatch = std::vector<ClaimRecord>;
 
-/// @brief The largest answer that is kept for repeats.
+/// @brief Maximum size of an answer that is kept for repeats, in bytes.
 inline constexpr std::size_t MostAnswerBytes = 4096;
 
-/// @brief The longest name, digest or content type in a record.
+/// @brief Maximum length of a name, digest or content type in a record, in bytes.
 inline constexpr std::size_t MostNameBytes = 256;
 inline constexpr std::uint32_t MostStatus = 999;
 
-/// @brief Whether every reader will take the record. One that is not well formed must never be
-/// appended: readers refuse it together with all others of its append.
+/// @brief Whether readers accept the record. A malformed record must never be appended: readers
+/// refuse it together with all others of its append.
 [[nodiscard]] bool isWellFormed(const ClaimRecord &record);
 
 [[nodiscard]] inline const ClaimKey &keyOf(const ClaimRecord &record)
--- a/src/vanilladyke/policy/append_pacer.cpp
+++ b/src/vanilladyke/policy/append_pacer.cpp
@@ -24,7 +24,7 @@
 TimePoint AppendPacer::readyAt() const
 {
     const std::chrono::duration<double> missing(std::max(0.0, 1 - m_tokens) / m_perSecond);
-    // Rounded up: woken a moment too early, the caller would have to come again.
+    // Rounded up, since a caller that wakes up early would be refused and have to retry.
     return std::max(m_notBefore,
                     m_filledAt + std::chrono::ceil<std::chrono::milliseconds>(missing));
 }
--- a/src/vanilladyke/policy/claim_fold.cpp
+++ b/src/vanilladyke/policy/claim_fold.cpp
@@ -36,8 +36,8 @@
         return;
     }
     const auto &spent = entry.released;
-    // The log may hold the same claim twice, when an append was repeated after its answer was lost.
-    // The second must not bring back to life what its owner has given up for good.
+    // The log may contain a claim twice if an append was repeated after its answer was lost. The
+    // second copy must not reactivate a claim that its owner has released.
     const bool again = std::find(spent.begin(), spent.end(), claim.nonce) != spent.end();
     const bool free = entry.stage == ClaimStage::Released && spent.size() < MostReleases;
     if (free && !again && claim.request == entry.request) {
@@ -118,8 +118,8 @@
 
 WallTime coveredFrom(WallTime appendedAt)
 {
-    // A key may be dated ClockSkew ahead of the node that accepts it, and that node's clock
-    // ClockSkew ahead of the log's.
+    // A key may be dated ClockSkew ahead of the node that accepts it, whose clock may be ClockSkew
+    // ahead of the log's.
     return appendedAt + 2 * ClockSkew;
 }
 
--- a/src/vanilladyke/policy/claim_fold_test.cpp
+++ b/src/vanilladyke/policy/claim_fold_test.cpp
@@ -35,8 +35,7 @@
     return fold;
 }
 
-// A booking is sent to two nodes at once, and both claim it. If the second could send as well, two
-// brands would pay for one panel.
+// Guards against two senders: a call reaches two nodes at once, and both claim its key.
 TEST(ClaimFold, TheFirstClaimInLogOrderOwnsTheKey)
 {
     const ClaimKey key = keyAt(Start);
@@ -44,9 +43,9 @@
     EXPECT_EQ(fold.find(key)->owner, nonce("a"));
 }
 
-// The owner is killed between its claim and the answer. Nobody knows whether the booking was sent;
-// if another node took over after a while, it could run twice.
-TEST(ClaimFold, NobodyTakesOverAndOnlyTheOwnerSettles)
+// Guards against taking over a claim whose owner was killed before it recorded an outcome: the call
+// may have been sent and could run twice.
+TEST(ClaimFold, NoOtherNodeTakesOverOrSettlesAClaim)
 {
     const ClaimKey key = keyAt(Start);
     const ClaimFold fold = folded(
@@ -64,9 +63,10 @@
     EXPECT_EQ(fold.find(key)->owner, nonce("c"));
 }
 
-// The answer to an append is lost, the node appends its claim again, gives it up, and the network
-// delivers the first append late. Brought back to life, the claim would block the key for good.
-TEST(ClaimFold, ALateDuplicateDoesNotReviveAReleasedClaim)
+// Guards against a key that stays blocked: the answer to an append is lost, the node appends its
+// claim again and releases it, and then the first append is written. The late copy must not
+// reactivate the claim.
+TEST(ClaimFold, ALateDuplicateDoesNotReactivateAReleasedClaim)
 {
     const ClaimKey key = keyAt(Start);
     const ClaimFold fold =
@@ -74,7 +74,7 @@
     EXPECT_EQ(fold.find(key)->stage, ClaimStage::Released);
 }
 
-TEST(ClaimFold, AKeyGivenUpTooOftenStaysClosed)
+TEST(ClaimFold, AKeyReleasedTooOftenCannotBeClaimedAgain)
 {
     const ClaimKey key = keyAt(Start);
     ClaimFold fold;
@@ -87,9 +87,9 @@
     EXPECT_EQ(fold.find(key)->released.size(), MostReleases);
 }
 
-// Memory has to be bounded, so old keys are dropped. A key that is dropped but still accepted would
-// look new, and a late repeat would book a second time.
-TEST(ClaimFold, AForgottenKeyIsNotCovered)
+// Guards against accepting a key whose entry was dropped to bound memory: it would look unused, and
+// a late repeat would run the call a second time.
+TEST(ClaimFold, ADroppedKeyIsNotCovered)
 {
     const ClaimKey old = keyAt(Start);
     const ClaimKey young = keyAt(Start + minutes(9), 2);
@@ -100,7 +100,7 @@
     EXPECT_TRUE(fold.covers(young.key));
 }
 
-TEST(ClaimFold, AKeyIsRefusedByAgeBeforeAnyNodeForgetsIt)
+TEST(ClaimFold, AKeyIsRefusedByAgeBeforeAnyNodeDropsIt)
 {
     const ClaimKey key = keyAt(Start);
     for (int second = 0; second < 700; ++second) {
@@ -117,8 +117,8 @@
     EXPECT_EQ(judgeAge(keyAt(Start + seconds(4)).key, Start, minutes(10)), KeyAge::Valid);
 }
 
-// The log has dropped records that a node never saw: it was paused for long, or has just started.
-// A claim may be among them, so that keys of that time must not be sent.
+// Guards against sending a call whose claim was missed: the log dropped records before this node
+// read them, because it was paused or has just started.
 TEST(ClaimFold, KeysOlderThanAGapAreNotCovered)
 {
     ClaimFold fold = folded({claimBy("a", keyAt(Start))});
--- a/src/vanilladyke/policy/claim_ledger.cpp
+++ b/src/vanilladyke/policy/claim_ledger.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// What a record takes in an append, about.
+/// Approximate size of a record in an append, in bytes.
 std::size_t sizeOf(const ClaimRecord &record)
 {
     constexpr std::size_t Fixed = 160;
@@ -46,7 +46,7 @@
                 Ran::No,
                 {}};
     }
-    // What the key did in its time is forgotten, so that "not run" could be false.
+    // Earlier calls with the key are no longer recorded, so "not run" could be false.
     return {RefusalReason::KeyExpired,
             "the key is older than the claim window; this request sent nothing",
             Ran::Unknown,
@@ -100,7 +100,7 @@
 
 void ClaimLedger::abandon(ClaimTicket ticket)
 {
-    // A claim that is on its way becomes the owner later on; releaseIfUnused then gives it up.
+    // Its claim may still become the key's owner; releaseIfUnused() then releases it.
     m_waiting.erase(ticket);
 }
 
@@ -132,7 +132,7 @@
     if (m_batchState != BatchState::None || !ready() || m_queue.empty()) {
         return std::nullopt;
     }
-    // Claims of calls that have been refused meanwhile need not be appended any more.
+    // Drops claims of calls that have been refused or abandoned in the meantime.
     std::set<ClaimNonce> wanted;
     for (const auto &[ticket, waiting] : m_waiting) {
         wanted.insert(waiting.nonce);
@@ -174,9 +174,9 @@
         m_appendedAt = at.now;
         m_batchState = BatchState::None;
         if (offset == m_fold.next()) {
-            // All before it is known, so the claims are decided without another read. The whole
-            // batch counts, also what has been seen at an earlier offset: all other readers take
-            // it twice, and must come to the same owner.
+            // No records precede it that this node has not read, so the claims can be decided
+            // without another read. The whole batch is applied, including records already read at
+            // an earlier offset: all other readers apply them twice and must find the same owner.
             apply({offset, at.wall, m_batch});
         }
         m_unseen.clear();
@@ -188,8 +188,8 @@
         requeueUnseen();
         break;
     case AppendResult::InDoubt:
-        // The batch may stand in the log, or get there yet. Only a read that begins from now on
-        // can tell; until then nothing of it is appended again.
+        // The batch may have been written, or may still be. Only a read that begins after this
+        // point resolves that; until then none of it is appended again.
         m_pacer.failed(at.now);
         m_batchState = BatchState::InDoubt;
         m_doubtSince = at.now;
@@ -210,10 +210,10 @@
     const std::uint64_t start =
             page.records.empty() ? page.firstOffset : page.records.front().offset;
     const bool startsLater = m_fold.next() < start;
-    // A read that began before an append of this node may answer as of before it.
+    // A read that began before an append of this node may return the state before it.
     const bool wentBack = page.nextOffset < m_fold.next() && page.askedAt > m_appendedAt;
     if (wentBack || (startsLater && page.records.empty())) {
-        // Records are gone that this node has never seen, and nothing tells how old they were.
+        // The log dropped records that this node has not read, and their age is unknown.
         m_fold.skipTo(page.firstOffset, at.wall + ClockSkew);
     } else if (startsLater) {
         m_fold.skipTo(start, coveredFrom(page.records.front().appendedAt));
@@ -256,9 +256,10 @@
     }
 }
 
-/// A claim whose call was refused while its append was in doubt can become the owner later on. Its
-/// caller was told that nothing ran, so it is never sent; unless it were released, every repeat
-/// would wait for an outcome that never comes.
+/// Releases a claim of this node that owns the key although its call is no longer waiting, for
+/// example because it was refused while the append was in doubt. The refusal stated that nothing
+/// ran, so the call is never sent; without a release, every repeat would wait for an outcome that
+/// is never recorded.
 void ClaimLedger::releaseIfUnused(const ClaimKey &key)
 {
     const ClaimEntry *entry = m_fold.find(key);
--- a/src/vanilladyke/policy/claim_ledger_test.cpp
+++ b/src/vanilladyke/policy/claim_ledger_test.cpp
@@ -15,7 +15,7 @@
 constexpr Duration Window = minutes(10);
 constexpr WallTime WallStart = WallTime(std::chrono::hours(500'000));
 
-/// The log, and appends whose answer was lost and that arrive later.
+/// An in-memory log, with appends that were reported in doubt and are written later.
 struct FakeLog
 {
     std::vector<ClaimLogRecord> records;
@@ -34,7 +34,7 @@
     std::optional<ClaimVerdict> verdict;
 };
 
-/// One life of a node: what a real one does, one step at a time.
+/// One process of a node, driven one step at a time.
 struct Node
 {
     explicit Node(const std::string &process)
@@ -48,7 +48,7 @@
     std::optional<ClaimBatch> underWay;
 };
 
-/// Nodes, callers and a log, driven by random steps.
+/// Simulation of nodes, callers and a log, driven by random steps.
 class World
 {
 public:
@@ -91,11 +91,11 @@
             restartSometimes();
             break;
         }
-        chosen->ledger.tick(at()); // may be a new life of it by now
+        chosen->ledger.tick(at()); // not `node`: it may have been restarted
         collect();
     }
 
-    /// Ends all faults and lets everything come to rest.
+    /// Stops injecting faults and runs until all work has finished.
     void settle()
     {
         while (!m_log.late.empty()) {
@@ -132,7 +132,7 @@
                            [](const auto &each) { return each.second <= 1; });
     }
 
-    /// A repeat that heard "not run" was told so of all tries, past and to come.
+    /// "Not run", returned to a repeat, must hold for all attempts, past and future.
     [[nodiscard]] bool refusalsTrue() const
     {
         return std::all_of(m_asked.begin(), m_asked.end(), [&](const auto &each) {
@@ -143,7 +143,7 @@
         });
     }
 
-    /// Every call that was asked of a node that still lives has its verdict.
+    /// Every call to a node that has not been killed since has its verdict.
     [[nodiscard]] bool allTold() const
     {
         return std::all_of(m_asked.begin(), m_asked.end(), [&](const auto &each) {
@@ -193,10 +193,10 @@
         node.underWay.reset();
         if (fate == 1) {
             node.ledger.appended(AppendResult::NotDone, 0, at());
-        } else if (fate == 2) { // written, the answer lost
+        } else if (fate == 2) { // written, but the answer was lost
             m_log.append(batch, at().wall);
             node.ledger.appended(AppendResult::InDoubt, 0, at());
-        } else if (fate == 3) { // neither yet; perhaps later
+        } else if (fate == 3) { // not written yet; may be later
             m_log.late.push_back(batch);
             node.ledger.appended(AppendResult::InDoubt, 0, at());
         } else if (fate == 4) { // written twice
@@ -256,7 +256,7 @@
         }
         auto &node = m_nodes.at(uniformBelow(m_random, m_nodes.size()));
         if (!node->permits.empty() && uniformBelow(m_random, 2) == 0) {
-            // Killed right after the call left.
+            // Killed right after the call was sent.
             const auto &key = node->permits.back().first;
             ++m_sent[{key, node->ledger.fold().find(key)->request}];
         }
@@ -291,13 +291,13 @@
     std::vector<ClaimKey> m_keys;
     std::map<ClaimTicket, Asked> m_asked;
     std::map<ClaimTicket, const Node *> m_askedOf;
-    std::set<ClaimTicket> m_lost; ///< asked of a node that was killed since
+    std::set<ClaimTicket> m_lost; ///< submitted to a node that has been killed since
     std::map<std::pair<ClaimKey, RequestDigest>, int> m_sent;
     std::uint64_t m_lives = 0;
     std::uint64_t m_tickets = 0;
 };
 
-/// Runs a world and names what went wrong in it.
+/// Runs a simulation and returns the violated invariants.
 std::vector<std::string> faultsOf(std::uint64_t seed)
 {
     World world(seed);
@@ -312,23 +312,23 @@
         }
     };
     check(world.noneTwice(), "a call was sent twice");
-    check(world.refusalsTrue(), "a refusal was false");
-    check(world.foldsAgree(), "the readers disagree");
-    check(world.allTold(), "a caller was told nothing");
+    check(world.refusalsTrue(), "a refusal stated \"not run\" of a call that was sent");
+    check(world.foldsAgree(), "the nodes disagree on the owner of a key");
+    check(world.allTold(), "a call got no verdict");
     return faults;
 }
 
-// Nodes are killed, paused and restarted, appends get lost, arrive late or twice, and callers
-// repeat their bookings anywhere. A user would pay twice, or be told that nothing ran when it did.
+// Guards against duplicate execution and false "not run" refusals while nodes are killed and
+// restarted, appends are lost, delayed or duplicated, and callers repeat their calls at any node.
 RC_GTEST_PROP(ClaimLedger, AtMostOneSenderAndTrueRefusalsOverAnyInterleaving, (std::uint64_t seed))
 {
     RC_ASSERT(faultsOf(seed) == std::vector<std::string>());
 }
 
-// An append was written twice, and the node saw the first of the two before its own append was
-// answered. It left what it had seen out of the second, so that its picture of the key's owner
-// differed from all other nodes', and with it who might send.
-TEST(ClaimLedger, SeedsThatShowedAFaultOnce)
+// Guards against an owner that differs between nodes: an append was written twice, and the node
+// read the first copy before the append was confirmed. It did not apply the records of the second
+// copy that it had read already, unlike all other nodes.
+TEST(ClaimLedger, SeedsOfPastFailures)
 {
     for (const std::uint64_t seed : {15601420UL, 4302193093078UL, 188864944128732UL}) {
         EXPECT_EQ(faultsOf(seed), std::vector<std::string>()) << seed;
@@ -382,9 +382,9 @@
     EXPECT_EQ(m_ledger.takeDecisions().size(), 5U);
 }
 
-// The log takes the claim but its answer gets lost. Appending again at once could double records,
-// giving up could leave the key blocked; reading the log tells.
-TEST_F(OneNode, ALostAnswerIsSettledByReadingTheLog)
+// Guards against duplicate records and blocked keys after the log's answer to an append was lost:
+// the node must read the log before it appends anything again.
+TEST_F(OneNode, ALostAnswerIsResolvedByReadingTheLog)
 {
     m_ledger.ask(request(1), m_at);
     const ClaimBatch batch = m_ledger.nextBatch(m_at).value();
@@ -396,9 +396,9 @@
     EXPECT_FALSE(m_ledger.nextBatch(m_at).has_value());
 }
 
-// The log is down. The caller has to learn soon that its booking did not run, and when the claim
-// turns up in the log all the same, it must never be sent.
-TEST_F(OneNode, AClaimGivenUpIsNeverSentAndFreesTheKeyOnceItTurnsUp)
+// Guards against sending a call that was refused during an outage of the log: if its claim appears
+// in the log later, the key must be released and the call never sent.
+TEST_F(OneNode, ARefusedClaimIsNeverSentAndReleasesTheKeyOnceItIsRead)
 {
     m_ledger.ask(request(1), m_at);
     const ClaimBatch batch = m_ledger.nextBatch(m_at).value();
@@ -415,9 +415,10 @@
     EXPECT_TRUE(std::holds_alternative<ClaimRelease>(release->front()));
 }
 
-// The caller's first try reached another node, whose connection to the caller broke. This node
-// can't see the log; "not run" would make the caller book once more under a new key.
-TEST_F(OneNode, ARepeatHearsUnknownWhileTheLogIsDown)
+// Guards against duplicate execution: the first attempt reached another node, whose connection to
+// the caller broke, and this node cannot read the log. On "not run" the caller would repeat the
+// call under a new key.
+TEST_F(OneNode, ARepeatIsRefusedAsUnknownWhileTheLogIsDown)
 {
     m_ledger.ask(request(1, true), m_at);
     pass(ClaimPatience);
@@ -462,8 +463,8 @@
     EXPECT_EQ(refusal.ran, Ran::No);
 }
 
-// A caller comes back with a key of an hour ago. What it did is forgotten, so neither sending it
-// nor saying "not run" would be safe.
+// Guards against accepting a key beyond the claim window: earlier calls with it are no longer
+// recorded, so neither sending it nor refusing it as "not run" is safe.
 TEST_F(OneNode, AnExpiredKeyIsNeitherSentNorCalledNotRun)
 {
     pass(Window + seconds(1));
@@ -473,8 +474,8 @@
     EXPECT_EQ(refusal.ran, Ran::Unknown);
 }
 
-// A read that was waiting at the log when this node appended answers as of before the append. Taken
-// for a log that lost records, it would make the node refuse every key of the window.
+// Guards against treating a stale read as a log that lost records: a read that began before this
+// node's append returns the state before it. The node would refuse every key of the window.
 TEST_F(OneNode, AnAnswerFromBeforeTheOwnAppendChangesNothing)
 {
     const TimePoint before = m_at.now;
@@ -487,8 +488,8 @@
     EXPECT_TRUE(m_ledger.fold().covers(m_key.key));
 }
 
-// A service names a content type of a kilobyte. Readers refuse such a record and all others of its
-// append, so that it must not get there.
+// Guards against appending a malformed outcome, here with a content type of 1024 bytes: readers
+// refuse the record together with all others of its append.
 TEST_F(OneNode, AnOutcomeThatReadersWouldRefuseIsNotAppended)
 {
     m_ledger.ask(request(1), m_at);
@@ -512,7 +513,7 @@
     EXPECT_FALSE(m_ledger.nextBatch(m_at).has_value());
 }
 
-TEST(AppendPacer, ALoneAppendNeverWaitsAndABurstIsHeldToTheShare)
+TEST(AppendPacer, ASingleAppendNeverWaitsAndABurstIsLimitedToTheShare)
 {
     AppendPacer pacer;
     pacer.share(3);
