--- a/include/vanilladyke/policy/request_story.hpp
+++ b/include/vanilladyke/policy/request_story.hpp
@@ -8,11 +8,11 @@
 #include <string_view>
 #include <vector>
 
-/// Tells what became of a request from the log lines of all nodes.
+/// Builds the timeline of a request from the log lines of all nodes.
 ///
-/// What it is for: a user complains of one answer, and the lines that explain it stand in the logs
-/// of several nodes, most of them without the request's id: a store that was lost seconds before,
-/// an engine that loaded new weights, a server that left.
+/// Used to analyse a single answer. The lines that explain it are in the logs of several nodes,
+/// most of them without the request's id: a store that became unreachable seconds before, an engine
+/// that loaded new weights, a backend server that was removed.
 namespace vanilladyke {
 
 /// @brief One line of a node's log.
@@ -22,22 +22,23 @@
     std::string node;
     std::string event;
     std::map<std::string, std::string> fields;
-    std::string text; ///< as it was written
+    std::string text; ///< the original line
 };
 
-/// @brief Reads a line of key=value pairs; what comes before its time is skipped.
-/// @return none if it is no line of a node's log
+/// @brief Parses a line of key=value pairs; text before the `time=` field is skipped.
+/// @return none if it is not a line of a node's log
 [[nodiscard]] std::optional<LogLine> parseLogLine(std::string_view line);
 
-/// @brief A request's lines, what happened around it, and what its outcome means.
+/// @brief A request's log lines, related lines, and an explanation of its outcome.
 struct RequestStory
 {
-    std::vector<LogLine> own;     ///< lines that name the request, oldest first
-    std::vector<LogLine> context; ///< lines that explain them, oldest first
+    std::vector<LogLine> own;     ///< lines with the request's id, oldest first
+    std::vector<LogLine> context; ///< related lines of the same nodes and servers, oldest first
     std::string verdict;
 };
 
-/// @return a story without lines if no line names the request
+/// @brief Selects the lines of request @p id and the related ones.
+/// @return a timeline without lines if no line has the request's id
 [[nodiscard]] RequestStory tellStory(const std::vector<LogLine> &lines, const std::string &id);
 
 } // namespace vanilladyke
--- a/include/vanilladyke/policy/state_dump.hpp
+++ b/include/vanilladyke/policy/state_dump.hpp
@@ -10,29 +10,30 @@
 #include <string_view>
 #include <vector>
 
-/// State dumps: what a node's placements are made from, as JSON, so that a decision can be made
-/// again and explained away from the node.
+/// State dumps: the inputs of a node's placements as JSON, so that a decision can be reproduced and
+/// explained outside of the node.
 ///
-/// A dump holds the fleet's engines with their loads, the models, the objective, and the first
-/// entries of the cache view. It holds no key, and neither what the node learned of survival nor
-/// its own requests under way: an explanation starts from the defaults for those.
+/// A dump contains the fleet's engines with their loads, the models, the objective and the first
+/// entries of the cache view. It contains no keys, no survival statistics and none of the node's
+/// requests in flight: an explanation uses the defaults for those.
 namespace vanilladyke {
 
-/// @brief Cache entries in one dump at most; some 130 bytes each.
+/// @brief Maximum cache entries in a dump; about 130 bytes each.
 inline constexpr std::size_t MostDumpedEntries = 20'000;
 
-/// @brief A dump read back.
+/// @brief A parsed dump.
 struct StateDump
 {
     Fleet fleet;
     std::vector<CacheEntry> cache;
 };
 
-/// @brief Writes a dump. @param cache entries of engines that the fleet does not name are left out
+/// @brief Serializes a dump.
+/// @param cache entries of engines that are not in the fleet are omitted
 [[nodiscard]] std::string writeStateDump(const Fleet &fleet, const std::vector<CacheEntry> &cache,
                                          TimePoint now);
 
-/// @brief Reads a dump back; ages count from @p now. On failure every error is given.
+/// @brief Parses a dump; ages are relative to @p now. On failure, all errors are returned.
 [[nodiscard]] Outcome<StateDump, std::vector<FieldError>> readStateDump(std::string_view text,
                                                                         TimePoint now);
 
--- a/src/vanilladyke/policy/explain.cpp
+++ b/src/vanilladyke/policy/explain.cpp
@@ -43,14 +43,14 @@
 std::string_view sentenceOf(const std::string &reason)
 {
     if (reason == "near_tie") {
-        return "several cost about the same; chance chose among them, so that nodes that see the "
-               "same report do not all choose one";
+        return "several candidates cost about the same; one was selected at random, so that nodes "
+               "with the same load report do not all select the same engine";
     }
     if (reason == "stays") {
-        return "it has most of the prefix, and another engine would not save enough to leave it";
+        return "it has most of the prefix cached, and the saving at another engine is too small";
     }
     if (reason == "in_time") {
-        return "a cheaper one has no free slot, and most likely none before the deadline";
+        return "a cheaper candidate is unlikely to have a free slot before the deadline";
     }
     return "its predicted cost is the least";
 }
@@ -98,7 +98,7 @@
 std::string explainText(std::uint32_t promptTokens, const Fleet &fleet, const Placement &placement)
 {
     if (!placement.winner) {
-        return "no engine may take the request: none serves the model, or all are excluded\n";
+        return "no engine available for the request: none serves the model, or all are excluded\n";
     }
     std::string text = "prompt of " + std::to_string(promptTokens) + " tokens, "
                        + std::to_string(placement.candidates.size()) + " candidates\n";
--- a/src/vanilladyke/policy/request_story.cpp
+++ b/src/vanilladyke/policy/request_story.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// What happened to a node or to a server this long before a request may explain it.
+/// Events of a node or a backend server up to this long before a request are listed as context.
 constexpr Duration NodeContext = std::chrono::seconds(10);
 constexpr Duration BackendContext = std::chrono::seconds(5);
 
@@ -25,21 +25,23 @@
 };
 
 constexpr std::array<Meaning, 9> Meanings{{
-        {"answered", "The caller got the server's whole answer."},
+        {"answered", "The caller received the server's complete answer."},
         {"backend_failed",
-         "Every server that may be asked failed it; the caller got the last failure."},
-        {"no_backend", "No server of the service was open to this node; it did not run."},
+         "Every eligible server failed the request; the caller received the last failure."},
+        {"no_backend",
+         "No server of the service was available to this node; the request did not run."},
         {"retry_budget_spent",
-         "Servers refused it and the budget of second sends was used up; it did not run."},
-        {"too_late", "Its time was over before a server could begin; it did not run."},
+         "Servers refused the request and the retry budget was exhausted; it did not run."},
+        {"too_late", "The deadline passed before a server could start; the request did not run."},
         {"outcome_unknown",
-         "It was sent and no whole answer came: nobody knows whether it ran. A try with "
-         "timed_out=true waited to the end of its time, others lost their connection."},
+         "The request was sent and no complete answer was received: nobody knows whether it ran. "
+         "An attempt with timed_out=true reached its deadline; others lost their connection."},
         {"not_ready",
-         "This node could not show that its configuration and keys were young enough: see "
-         "proof_age_ms and store_lost; it did not run."},
-        {"stream_broken", "The stream's server was lost midway and no other one took it up."},
-        {"caller_left", "The caller closed its connection before the answer was whole."},
+         "The node's freshness proof of its configuration and keys was too old: see proof_age_ms "
+         "and store_lost; the request did not run."},
+        {"stream_broken",
+         "The stream's server was lost during the stream and no other server resumed it."},
+        {"caller_left", "The caller closed its connection before the answer was complete."},
 }};
 
 std::optional<WallTime> parseTime(const std::string &text)
@@ -62,7 +64,7 @@
            + std::chrono::duration_cast<WallTime::duration>(std::chrono::duration<double>(second));
 }
 
-/// Takes the next pair off the line. @return false at its end
+/// Removes the next key=value pair from the line. @return false if there is none
 bool takePair(std::string_view *line, std::string *key, std::string *value)
 {
     const std::size_t begin = line->find_first_not_of(' ');
@@ -134,7 +136,8 @@
     const auto byTime = [](const LogLine &a, const LogLine &b) { return a.time < b.time; };
     std::stable_sort(story.own.begin(), story.own.end(), byTime);
     if (story.own.empty()) {
-        story.verdict = "No line names this request: it never reached a node whose log is here.";
+        story.verdict = "No line has this request's id: it reached none of the nodes whose logs "
+                        "were given.";
         return story;
     }
     const WallTime first = story.own.front().time;
@@ -159,7 +162,8 @@
     if (meaning != Meanings.end()) {
         story.verdict = meaning->words;
     } else if (outcome.empty()) {
-        story.verdict = "Its last line is missing: the node ended, or its log is not whole.";
+        story.verdict =
+                "The request's last line is missing: the node ended or its log is incomplete.";
     } else {
         story.verdict = "Refused: " + outcome + ".";
     }
--- a/src/vanilladyke/policy/request_story_test.cpp
+++ b/src/vanilladyke/policy/request_story_test.cpp
@@ -13,7 +13,7 @@
     return line.value_or(LogLine());
 }
 
-TEST(RequestStory, ReadsALineAsItIsWritten)
+TEST(RequestStory, ParsesALogLine)
 {
     const LogLine line =
             at("06.039", "node=n1 event=request id=a1 reason=\"no such \\\"x\\\"\" ms=3.5");
@@ -26,8 +26,9 @@
     EXPECT_FALSE(parseLogLine("time=2026-08-06T09:29:06.039Z a=\"unclosed"));
 }
 
-// A request was refused although servers are there; the reason stands in lines without its id.
-TEST(RequestStory, TellsWhatExplainsTheRequestAndNothingElse)
+// Guards against a timeline without the cause of a refusal, which is in lines without the request's
+// id, and against unrelated lines in it.
+TEST(RequestStory, ListsRelatedLinesOfTheNodeAndNoOthers)
 {
     const std::vector<LogLine> lines{
             at("07.000", "node=n1 event=request id=a1 backend=none outcome=not_ready"),
@@ -44,7 +45,7 @@
     EXPECT_NE(story.verdict.find("proof_age_ms"), std::string::npos);
 }
 
-TEST(RequestStory, TellsWhatHappenedToTheServersThatWereTried)
+TEST(RequestStory, ListsRelatedLinesOfTheServersThatWereTried)
 {
     const std::vector<LogLine> lines{
             at("05.200", "node=n1 event=request id=a1 backend=e2 outcome=outcome_unknown"),
@@ -55,13 +56,13 @@
     };
     const RequestStory story = tellStory(lines, "a1");
     ASSERT_EQ(story.own.size(), 2U);
-    EXPECT_EQ(story.own[0].event, "try_failed") << "in the order of time";
+    EXPECT_EQ(story.own[0].event, "try_failed") << "ordered by time";
     ASSERT_EQ(story.context.size(), 1U);
     EXPECT_EQ(story.context[0].fields.at("backend"), "e1");
     EXPECT_NE(story.verdict.find("nobody knows"), std::string::npos);
 }
 
-TEST(RequestStory, SaysWhenItKnowsNothing)
+TEST(RequestStory, ReportsMissingLines)
 {
     EXPECT_TRUE(tellStory({}, "a1").own.empty());
     const std::vector<LogLine> cut{at("05.100", "node=n1 event=try_failed id=a1 backend=e1")};
--- a/src/vanilladyke/policy/state_dump_test.cpp
+++ b/src/vanilladyke/policy/state_dump_test.cpp
@@ -32,7 +32,7 @@
     return fleet;
 }
 
-TEST(StateDump, IsReadBackAsItWasWritten)
+TEST(StateDump, RoundTrips)
 {
     const Fleet fleet = smallFleet();
     const CacheEntry entry{fleet.engines[0].key, Incarnation{42}, {1, 2}, std::chrono::seconds(3)};
@@ -50,7 +50,7 @@
     EXPECT_NE(read->fleet.index->serving(ModelId("copy")), nullptr);
 }
 
-TEST(StateDump, TellsWhatIsWrongWithADump)
+TEST(StateDump, ReportsEveryInvalidField)
 {
     const auto read = readStateDump(
             R"({"engines": [{"id": "a", "state": "asleep"}], "cache": [{"engine": "a", "hash": "x"}]})",
@@ -61,7 +61,7 @@
     EXPECT_EQ(read.error()[1].field, "cache[0].hash");
 }
 
-RC_GTEST_PROP(StateDump, TakesOrRefusesAnyBytes, (const std::string &bytes))
+RC_GTEST_PROP(StateDump, AcceptsOrRefusesAnyBytes, (const std::string &bytes))
 {
     const auto read = readStateDump(bytes, start);
     RC_ASSERT(read.has_value() || !read.error().empty());
