--- a/include/vanilladyke/policy/cache_view.hpp
+++ b/include/vanilladyke/policy/cache_view.hpp
@@ -80,7 +80,7 @@
     /// @brief Sets the engine's current incarnation; invalidates entries of earlier ones.
     void setIncarnation(EngineKey engine, Incarnation incarnation, TimePoint now);
     /// @brief Removes the engine; invalidates all of its entries.
-    void forget(EngineKey engine);
+    void removeEngine(EngineKey engine);
     /// @brief Records that updates of the engine were lost, possibly evictions: entries received
     /// before now are reported as not trusted.
     void distrust(EngineKey engine, TimePoint now);
@@ -102,30 +102,30 @@
     struct Entry
     {
         ChainHash hash;
-        std::uint32_t engine = 0; ///< index into m_engines
-        std::uint32_t life = 0;   ///< valid only if equal to the engine's; 0 is always invalid
-        TimePoint learnedAt;
+        std::uint32_t engine = 0;     ///< index into m_engines
+        std::uint32_t generation = 0; ///< valid only if equal to the engine's; 0 is always invalid
+        TimePoint updatedAt;
     };
     static_assert(sizeof(Entry) == EntryBytes);
 
-    struct KnownEngine
+    struct TrackedEngine
     {
         EngineKey key{};
         Incarnation incarnation{};
-        std::uint32_t life = 1;
+        std::uint32_t generation = 1;
         TimePoint trustedSince;
         bool present = false;
     };
 
     [[nodiscard]] Entry *setOf(const ChainHash &hash);
     [[nodiscard]] const Entry *setOf(const ChainHash &hash) const;
-    [[nodiscard]] bool counts(const Entry &entry) const;
-    [[nodiscard]] const KnownEngine *find(EngineKey engine) const;
-    [[nodiscard]] Entry *place(const ChainHash &hash, std::uint32_t engine);
+    [[nodiscard]] bool isValid(const Entry &entry) const;
+    [[nodiscard]] const TrackedEngine *find(EngineKey engine) const;
+    [[nodiscard]] Entry *slotFor(const ChainHash &hash, std::uint32_t engine);
 
     std::vector<Entry> m_entries;
     std::uint64_t m_mask;
-    std::vector<KnownEngine> m_engines;
+    std::vector<TrackedEngine> m_engines;
     std::unordered_map<EngineKey, std::uint32_t> m_index;
 };
 
--- a/include/vanilladyke/policy/claim_fold.hpp
+++ b/include/vanilladyke/policy/claim_fold.hpp
@@ -63,7 +63,7 @@
     void skipTo(std::uint64_t offset, WallTime keysFrom);
 
     /// @brief Drops the keys created before a time; they are no longer covered.
-    void forgetBefore(WallTime keyTime);
+    void dropBefore(WallTime keyTime);
     /// @brief Whether all claims of the key before next() have been applied and retained. If not,
     /// the key must be refused, since an earlier claim may have been missed or dropped.
     [[nodiscard]] bool covers(const UuidV7 &key) const { return key.time() >= m_keysFrom; }
@@ -72,9 +72,9 @@
     [[nodiscard]] std::size_t answerBytes() const { return m_answerBytes; }
 
 private:
-    void take(const Claim &claim);
-    void take(const ClaimRelease &release);
-    void take(const ClaimOutcome &outcome);
+    void applyRecord(const Claim &claim);
+    void applyRecord(const ClaimRelease &release);
+    void applyRecord(const ClaimOutcome &outcome);
     ClaimEntry *ownedBy(const ClaimKey &key, const ClaimNonce &nonce);
     void dropOldAnswers();
 
@@ -91,11 +91,11 @@
 inline constexpr std::size_t MostAnswerBytesKept = 32U << 20U;
 
 /// @brief Result of the check of a key's age.
-enum class KeyAge { Valid, Expired, Ahead };
+enum class KeyAge { Valid, Expired, InFuture };
 
 /// @brief Checks a key's timestamp.
 /// @param window age after which a key is refused
-[[nodiscard]] KeyAge judgeAge(const UuidV7 &key, WallTime now, Duration window);
+[[nodiscard]] KeyAge checkAge(const UuidV7 &key, WallTime now, Duration window);
 
 /// @brief The time before which keys can be dropped: no node accepts them any more, even if its
 /// clock is slow.
--- a/include/vanilladyke/policy/claim_ledger.hpp
+++ b/include/vanilladyke/policy/claim_ledger.hpp
@@ -85,7 +85,7 @@
 
 /// @brief How long a call waits for its claim to be written to the log. Shorter than most callers'
 /// deadlines, so that callers can react to an outage of the log in time.
-inline constexpr Duration ClaimPatience = std::chrono::seconds(2);
+inline constexpr Duration ClaimTimeout = std::chrono::seconds(2);
 inline constexpr std::size_t MostRecordsPerAppend = 512;
 inline constexpr std::size_t MostBytesPerAppend = 256U << 10U;
 
@@ -138,21 +138,21 @@
         ClaimNonce nonce;
         TimePoint askedAt;
         TimePoint claimBy;
-        bool seen = false; ///< its claim has been read from the log
+        bool isRead = false; ///< its claim has been read from the log
     };
-    enum class BatchState { None, UnderWay, InDoubt };
+    enum class BatchState { None, InProgress, InDoubt };
     using Step = std::optional<ClaimVerdict>;
 
     void enqueueClaim(Waiting &waiting);
     void apply(const ClaimLogRecord &record);
-    void sawOwn(const ClaimRecord &record);
+    void applyOwn(const ClaimRecord &record);
     void releaseIfUnused(const ClaimKey &key);
-    void requeueUnseen();
+    void requeueUnread();
     void decide(Moment at);
     [[nodiscard]] Step verdictOn(Waiting &waiting, Moment at);
     [[nodiscard]] Step onOwnClaim(const Waiting &waiting, Moment at);
     [[nodiscard]] Step onOthersClaim(const Waiting &waiting, Moment at) const;
-    [[nodiscard]] Step onFreeKey(Waiting &waiting, Moment at, bool spent);
+    [[nodiscard]] Step onFreeKey(Waiting &waiting, Moment at, bool isExhausted);
 
     ProcessId m_process;
     NodeId m_node;
@@ -161,13 +161,13 @@
     ClaimFold m_fold;
     AppendPacer m_pacer;
     std::map<ClaimTicket, Waiting> m_waiting;
-    std::set<ClaimNonce> m_sending;                      ///< permitted and not yet settled
-    std::map<ClaimNonce, ClaimOutcome> m_unseenOutcomes; ///< settled here, not yet in the log
+    std::set<ClaimNonce> m_permitted;                    ///< permitted and not yet settled
+    std::map<ClaimNonce, ClaimOutcome> m_unreadOutcomes; ///< settled here, not yet in the log
     std::deque<ClaimRecord> m_queue;
     ClaimBatch m_batch;  ///< the append in progress, complete
-    ClaimBatch m_unseen; ///< records of it not yet read from the log
+    ClaimBatch m_unread; ///< records of it not yet read from the log
     BatchState m_batchState = BatchState::None;
-    TimePoint m_doubtSince;
+    TimePoint m_inDoubtSince;
     TimePoint m_appendedAt;                 ///< when the last append was confirmed
     std::optional<TimePoint> m_readThrough; ///< start of the last read that reached the end
     std::vector<ClaimDecision> m_decisions;
--- a/src/vanilladyke/policy/cache_view.cpp
+++ b/src/vanilladyke/policy/cache_view.cpp
@@ -31,22 +31,22 @@
         m_engines.push_back({engine, incarnation, 1, now, true});
         return;
     }
-    KnownEngine &known = m_engines[found->second];
+    TrackedEngine &known = m_engines[found->second];
     if (known.present && known.incarnation == incarnation) {
         return;
     }
-    ++known.life;
+    ++known.generation;
     known.incarnation = incarnation;
     known.trustedSince = now;
     known.present = true;
 }
 
-void CacheView::forget(EngineKey engine)
+void CacheView::removeEngine(EngineKey engine)
 {
     const auto found = m_index.find(engine);
     if (found != m_index.end()) {
-        KnownEngine &known = m_engines[found->second];
-        ++known.life;
+        TrackedEngine &known = m_engines[found->second];
+        ++known.generation;
         known.present = false;
     }
 }
@@ -62,30 +62,30 @@
 void CacheView::stored(EngineKey engine, Incarnation incarnation, const ChainHash &hash,
                        TimePoint now)
 {
-    const KnownEngine *known = find(engine);
+    const TrackedEngine *known = find(engine);
     if (known == nullptr || known->incarnation != incarnation) {
         return;
     }
     const auto slot = static_cast<std::uint32_t>(known - m_engines.data());
-    Entry *entry = place(hash, slot);
+    Entry *entry = slotFor(hash, slot);
     // An entry from a peer may be older than the one that this node already has.
-    const bool held = entry->hash == hash && entry->engine == slot && counts(*entry);
-    if (held && entry->learnedAt >= now) {
+    const bool isHeld = entry->hash == hash && entry->engine == slot && isValid(*entry);
+    if (isHeld && entry->updatedAt >= now) {
         return;
     }
-    *entry = {hash, slot, known->life, now};
+    *entry = {hash, slot, known->generation, now};
 }
 
 void CacheView::evicted(EngineKey engine, Incarnation incarnation, const ChainHash &hash)
 {
-    const KnownEngine *known = find(engine);
+    const TrackedEngine *known = find(engine);
     if (known == nullptr || known->incarnation != incarnation) {
         return;
     }
     const auto slot = static_cast<std::uint32_t>(known - m_engines.data());
     for (Entry &entry : std::span(setOf(hash), Ways)) {
         if (entry.hash == hash && entry.engine == slot) {
-            entry.life = 0;
+            entry.generation = 0;
         }
     }
 }
@@ -94,12 +94,12 @@
                            std::vector<PrefixHolder> &holders) const
 {
     for (const Entry &entry : std::span(setOf(cut.hash), Ways)) {
-        if (entry.hash != cut.hash || !counts(entry)) {
+        if (entry.hash != cut.hash || !isValid(entry)) {
             continue;
         }
-        const KnownEngine &engine = m_engines[entry.engine];
-        const KnownLength length{cut.tokens, now - entry.learnedAt,
-                                 entry.learnedAt >= engine.trustedSince};
+        const TrackedEngine &engine = m_engines[entry.engine];
+        const KnownLength length{cut.tokens, now - entry.updatedAt,
+                                 entry.updatedAt >= engine.trustedSince};
         const auto found =
                 std::find_if(holders.begin(), holders.end(), [&](const PrefixHolder &holder) {
                     return holder.engine == engine.key;
@@ -127,16 +127,16 @@
     CachePiece piece;
     for (std::size_t i = from; i < m_entries.size(); ++i) {
         const Entry &entry = m_entries[i];
-        if (!counts(entry)) {
+        if (!isValid(entry)) {
             continue;
         }
         if (piece.entries.size() == most) {
             piece.next = i;
             break;
         }
-        const KnownEngine &engine = m_engines[entry.engine];
+        const TrackedEngine &engine = m_engines[entry.engine];
         piece.entries.push_back(
-                {engine.key, engine.incarnation, entry.hash, now - entry.learnedAt});
+                {engine.key, engine.incarnation, entry.hash, now - entry.updatedAt});
     }
     return piece;
 }
@@ -151,13 +151,13 @@
     return &m_entries[(hash.low & m_mask) * Ways];
 }
 
-bool CacheView::counts(const Entry &entry) const
+bool CacheView::isValid(const Entry &entry) const
 {
-    return entry.life != 0 && m_engines[entry.engine].present
-           && m_engines[entry.engine].life == entry.life;
+    return entry.generation != 0 && m_engines[entry.engine].present
+           && m_engines[entry.engine].generation == entry.generation;
 }
 
-const CacheView::KnownEngine *CacheView::find(EngineKey engine) const
+const CacheView::TrackedEngine *CacheView::find(EngineKey engine) const
 {
     const auto found = m_index.find(engine);
     const bool present = found != m_index.end() && m_engines[found->second].present;
@@ -165,20 +165,20 @@
 }
 
 /// Selects the engine's existing entry of this prefix, else an invalid entry, else the oldest.
-CacheView::Entry *CacheView::place(const ChainHash &hash, std::uint32_t engine)
+CacheView::Entry *CacheView::slotFor(const ChainHash &hash, std::uint32_t engine)
 {
     Entry *best = nullptr;
-    bool bestCounts = true;
+    bool bestIsValid = true;
     for (Entry &entry : std::span(setOf(hash), Ways)) {
         if (entry.hash == hash && entry.engine == engine) {
             return &entry;
         }
-        const bool live = counts(entry);
-        const bool better = best == nullptr || (bestCounts && !live)
-                            || (bestCounts == live && entry.learnedAt < best->learnedAt);
+        const bool valid = isValid(entry);
+        const bool better = best == nullptr || (bestIsValid && !valid)
+                            || (bestIsValid == valid && entry.updatedAt < best->updatedAt);
         if (better) {
             best = &entry;
-            bestCounts = live;
+            bestIsValid = valid;
         }
     }
     return best;
--- a/src/vanilladyke/policy/cache_view_test.cpp
+++ b/src/vanilladyke/policy/cache_view_test.cpp
@@ -115,7 +115,7 @@
               (const std::vector<std::tuple<std::uint8_t, std::uint8_t, std::uint8_t>> &steps))
 {
     CacheView view(1U << 14U);
-    std::map<EngineKey, std::uint64_t> life;
+    std::map<EngineKey, std::uint64_t> incarnations;
     std::map<std::pair<EngineKey, std::uint64_t>, bool> held;
     int now = 0;
     for (const auto &[what, which, hash] : steps) {
@@ -123,17 +123,18 @@
         ++now;
         switch (what % 5U) {
         case 0:
-            life[engine] = now;
-            view.setIncarnation(engine, Incarnation{life[engine]}, at(now));
+            incarnations[engine] = now;
+            view.setIncarnation(engine, Incarnation{incarnations[engine]}, at(now));
             std::erase_if(held, [&](const auto &item) { return item.first.first == engine; });
             break;
         case 1:
-            life.erase(engine);
-            view.forget(engine);
+            incarnations.erase(engine);
+            view.removeEngine(engine);
             std::erase_if(held, [&](const auto &item) { return item.first.first == engine; });
             break;
         case 2:
-            view.evicted(engine, Incarnation{life.contains(engine) ? life[engine] : 0},
+            view.evicted(engine,
+                         Incarnation{incarnations.contains(engine) ? incarnations[engine] : 0},
                          hashOf(hash % 8U));
             held.erase({engine, hash % 8U});
             break;
@@ -141,15 +142,15 @@
             view.stored(engine, Incarnation{9'999'999}, hashOf(hash % 8U), at(now));
             break;
         default:
-            if (life.contains(engine)) {
-                view.stored(engine, Incarnation{life[engine]}, hashOf(hash % 8U), at(now));
+            if (incarnations.contains(engine)) {
+                view.stored(engine, Incarnation{incarnations[engine]}, hashOf(hash % 8U), at(now));
                 held[{engine, hash % 8U}] = true;
             }
         }
         for (std::uint64_t each = 0; each < 8; ++each) {
             for (const PrefixHolder &holder : view.holders(chainOf(each, 1), at(now))) {
                 RC_ASSERT(held.contains({holder.engine, each}));
-                RC_ASSERT(holder.incarnation == Incarnation{life.at(holder.engine)});
+                RC_ASSERT(holder.incarnation == Incarnation{incarnations.at(holder.engine)});
             }
         }
     }
--- a/src/vanilladyke/policy/claim_fold.cpp
+++ b/src/vanilladyke/policy/claim_fold.cpp
@@ -8,7 +8,7 @@
 {
     m_next = offset + 1;
     for (const ClaimRecord &record : batch) {
-        std::visit([this](const auto &each) { take(each); }, record);
+        std::visit([this](const auto &each) { applyRecord(each); }, record);
     }
 }
 
@@ -24,7 +24,7 @@
     m_keysFrom = std::max(m_keysFrom, keysFrom);
 }
 
-void ClaimFold::take(const Claim &claim)
+void ClaimFold::applyRecord(const Claim &claim)
 {
     const auto [found, fresh] = m_entries.try_emplace(claim.key);
     ClaimEntry &entry = found->second;
@@ -35,12 +35,13 @@
         m_byAge.emplace(claim.key.key.time(), claim.key);
         return;
     }
-    const auto &spent = entry.released;
+    const auto &released = entry.released;
     // The log may contain a claim twice if an append was repeated after its answer was lost. The
     // second copy must not reactivate a claim that its owner has released.
-    const bool again = std::find(spent.begin(), spent.end(), claim.nonce) != spent.end();
-    const bool free = entry.stage == ClaimStage::Released && spent.size() < MostReleases;
-    if (free && !again && claim.request == entry.request) {
+    const bool isDuplicate =
+            std::find(released.begin(), released.end(), claim.nonce) != released.end();
+    const bool isFree = entry.stage == ClaimStage::Released && released.size() < MostReleases;
+    if (isFree && !isDuplicate && claim.request == entry.request) {
         entry.stage = ClaimStage::Claimed;
         entry.owner = claim.nonce;
         entry.node = claim.node;
@@ -55,7 +56,7 @@
     return owned ? &found->second : nullptr;
 }
 
-void ClaimFold::take(const ClaimRelease &release)
+void ClaimFold::applyRecord(const ClaimRelease &release)
 {
     if (ClaimEntry *entry = ownedBy(release.key, release.nonce)) {
         entry->stage = ClaimStage::Released;
@@ -63,7 +64,7 @@
     }
 }
 
-void ClaimFold::take(const ClaimOutcome &outcome)
+void ClaimFold::applyRecord(const ClaimOutcome &outcome)
 {
     if (ClaimEntry *entry = ownedBy(outcome.key, outcome.nonce)) {
         entry->stage = ClaimStage::Settled;
@@ -89,7 +90,7 @@
     }
 }
 
-void ClaimFold::forgetBefore(WallTime keyTime)
+void ClaimFold::dropBefore(WallTime keyTime)
 {
     m_keysFrom = std::max(m_keysFrom, keyTime);
     while (!m_byAge.empty() && m_byAge.begin()->first < keyTime) {
@@ -103,10 +104,10 @@
     m_withAnswer.erase(m_withAnswer.begin(), m_withAnswer.lower_bound(keyTime));
 }
 
-KeyAge judgeAge(const UuidV7 &key, WallTime now, Duration window)
+KeyAge checkAge(const UuidV7 &key, WallTime now, Duration window)
 {
     if (key.time() > now + ClockSkew) {
-        return KeyAge::Ahead;
+        return KeyAge::InFuture;
     }
     return key.time() < now - window ? KeyAge::Expired : KeyAge::Valid;
 }
--- a/src/vanilladyke/policy/claim_fold_test.cpp
+++ b/src/vanilladyke/policy/claim_fold_test.cpp
@@ -94,7 +94,7 @@
     const ClaimKey old = keyAt(Start);
     const ClaimKey young = keyAt(Start + minutes(9), 2);
     ClaimFold fold = folded({claimBy("a", old), claimBy("a", young)});
-    fold.forgetBefore(forgettableBefore(Start + minutes(11), minutes(10)));
+    fold.dropBefore(forgettableBefore(Start + minutes(11), minutes(10)));
     EXPECT_EQ(fold.size(), 1U);
     EXPECT_FALSE(fold.covers(old.key));
     EXPECT_TRUE(fold.covers(young.key));
@@ -106,15 +106,15 @@
     for (int second = 0; second < 700; ++second) {
         const WallTime slow = Start + seconds(second);
         const WallTime fast = slow + 2 * ClockSkew;
-        const bool forgotten = key.key.time() < forgettableBefore(fast, minutes(10));
-        EXPECT_FALSE(forgotten && judgeAge(key.key, slow, minutes(10)) == KeyAge::Valid);
+        const bool isDropped = key.key.time() < forgettableBefore(fast, minutes(10));
+        EXPECT_FALSE(isDropped && checkAge(key.key, slow, minutes(10)) == KeyAge::Valid);
     }
 }
 
 TEST(ClaimFold, KeysFromTheFutureAreRefused)
 {
-    EXPECT_EQ(judgeAge(keyAt(Start + seconds(6)).key, Start, minutes(10)), KeyAge::Ahead);
-    EXPECT_EQ(judgeAge(keyAt(Start + seconds(4)).key, Start, minutes(10)), KeyAge::Valid);
+    EXPECT_EQ(checkAge(keyAt(Start + seconds(6)).key, Start, minutes(10)), KeyAge::InFuture);
+    EXPECT_EQ(checkAge(keyAt(Start + seconds(4)).key, Start, minutes(10)), KeyAge::Valid);
 }
 
 // Guards against sending a call whose claim was missed: the log dropped records before this node
--- a/src/vanilladyke/policy/claim_ledger.cpp
+++ b/src/vanilladyke/policy/claim_ledger.cpp
@@ -40,7 +40,7 @@
 
 Refusal refusalByAge(KeyAge age)
 {
-    if (age == KeyAge::Ahead) {
+    if (age == KeyAge::InFuture) {
         return {RefusalReason::KeyExpired,
                 "the key is dated ahead of this host's clock",
                 Ran::No,
@@ -73,9 +73,9 @@
 
 void ClaimLedger::ask(const ClaimRequest &request, Moment at)
 {
-    const TimePoint claimBy = std::min(request.deadline, at.now + ClaimPatience);
+    const TimePoint claimBy = std::min(request.deadline, at.now + ClaimTimeout);
     Waiting waiting{request, {}, at.now, claimBy, false};
-    const KeyAge age = judgeAge(request.key.key, at.wall, m_window);
+    const KeyAge age = checkAge(request.key.key, at.wall, m_window);
     if (age != KeyAge::Valid || !m_fold.covers(request.key.key)) {
         m_decisions.push_back({request.ticket, refusalByAge(age)});
         return;
@@ -106,7 +106,7 @@
 
 void ClaimLedger::settle(const ClaimRecord &record)
 {
-    if (m_sending.erase(nonceOf(record)) == 0) {
+    if (m_permitted.erase(nonceOf(record)) == 0) {
         return;
     }
     ClaimRecord kept = record;
@@ -114,7 +114,7 @@
         if (!isWellFormed(kept)) {
             *outcome = {outcome->key, outcome->nonce, OutcomeKind::AnswerTooLarge, 0, {}, {}};
         }
-        m_unseenOutcomes.insert_or_assign(outcome->nonce, *outcome);
+        m_unreadOutcomes.insert_or_assign(outcome->nonce, *outcome);
     }
     m_queue.push_back(std::move(kept));
 }
@@ -122,7 +122,7 @@
 void ClaimLedger::enqueueClaim(Waiting &waiting)
 {
     waiting.nonce = {m_process, ++m_sequence};
-    waiting.seen = false;
+    waiting.isRead = false;
     m_queue.emplace_back(
             Claim{waiting.request.key, waiting.nonce, m_node, waiting.request.request});
 }
@@ -133,12 +133,12 @@
         return std::nullopt;
     }
     // Drops claims of calls that have been refused or abandoned in the meantime.
-    std::set<ClaimNonce> wanted;
+    std::set<ClaimNonce> waitingClaims;
     for (const auto &[ticket, waiting] : m_waiting) {
-        wanted.insert(waiting.nonce);
+        waitingClaims.insert(waiting.nonce);
     }
     std::erase_if(m_queue, [&](const ClaimRecord &record) {
-        return !isSettled(record) && !wanted.contains(nonceOf(record));
+        return !isSettled(record) && !waitingClaims.contains(nonceOf(record));
     });
     if (m_queue.empty() || !m_pacer.take(at.now)) {
         return std::nullopt;
@@ -150,8 +150,8 @@
         m_batch.push_back(std::move(m_queue.front()));
         m_queue.pop_front();
     }
-    m_unseen = m_batch;
-    m_batchState = BatchState::UnderWay;
+    m_unread = m_batch;
+    m_batchState = BatchState::InProgress;
     return m_batch;
 }
 
@@ -165,7 +165,7 @@
 
 void ClaimLedger::appended(AppendResult result, std::uint64_t offset, Moment at)
 {
-    if (m_batchState != BatchState::UnderWay) {
+    if (m_batchState != BatchState::InProgress) {
         return;
     }
     switch (result) {
@@ -179,29 +179,29 @@
             // an earlier offset: all other readers apply them twice and must find the same owner.
             apply({offset, at.wall, m_batch});
         }
-        m_unseen.clear();
+        m_unread.clear();
         m_batch.clear();
         break;
     case AppendResult::NotDone:
         m_pacer.failed(at.now);
         m_batchState = BatchState::None;
-        requeueUnseen();
+        requeueUnread();
         break;
     case AppendResult::InDoubt:
         // The batch may have been written, or may still be. Only a read that begins after this
         // point resolves that; until then none of it is appended again.
         m_pacer.failed(at.now);
         m_batchState = BatchState::InDoubt;
-        m_doubtSince = at.now;
+        m_inDoubtSince = at.now;
         break;
     }
     decide(at);
 }
 
-void ClaimLedger::requeueUnseen()
+void ClaimLedger::requeueUnread()
 {
-    m_queue.insert(m_queue.begin(), m_unseen.begin(), m_unseen.end());
-    m_unseen.clear();
+    m_queue.insert(m_queue.begin(), m_unread.begin(), m_unread.end());
+    m_unread.clear();
     m_batch.clear();
 }
 
@@ -225,9 +225,9 @@
     }
     if (m_fold.next() >= page.nextOffset) {
         m_readThrough = page.askedAt;
-        if (m_batchState == BatchState::InDoubt && page.askedAt > m_doubtSince) {
+        if (m_batchState == BatchState::InDoubt && page.askedAt > m_inDoubtSince) {
             m_batchState = BatchState::None;
-            requeueUnseen();
+            requeueUnread();
         }
     }
     decide(at);
@@ -238,21 +238,21 @@
     m_fold.apply(record.offset, record.batch);
     for (const ClaimRecord &each : record.batch) {
         if (nonceOf(each).process == m_process) {
-            sawOwn(each);
+            applyOwn(each);
             releaseIfUnused(keyOf(each));
         }
     }
 }
 
-void ClaimLedger::sawOwn(const ClaimRecord &record)
+void ClaimLedger::applyOwn(const ClaimRecord &record)
 {
-    std::erase(m_unseen, record);
+    std::erase(m_unread, record);
     if (std::holds_alternative<ClaimOutcome>(record)) {
-        m_unseenOutcomes.erase(nonceOf(record));
+        m_unreadOutcomes.erase(nonceOf(record));
         return;
     }
     for (auto &[ticket, waiting] : m_waiting) {
-        waiting.seen = waiting.seen || waiting.nonce == nonceOf(record);
+        waiting.isRead = waiting.isRead || waiting.nonce == nonceOf(record);
     }
 }
 
@@ -268,16 +268,17 @@
         return;
     }
     const ClaimNonce owner = entry->owner;
-    const bool waited = std::any_of(m_waiting.begin(), m_waiting.end(),
-                                    [&](const auto &each) { return each.second.nonce == owner; });
-    if (waited || m_sending.contains(owner) || m_unseenOutcomes.contains(owner)) {
+    const bool isWaiting = std::any_of(m_waiting.begin(), m_waiting.end(), [&](const auto &each) {
+        return each.second.nonce == owner;
+    });
+    if (isWaiting || m_permitted.contains(owner) || m_unreadOutcomes.contains(owner)) {
         return;
     }
     const ClaimRecord release = ClaimRelease{key, owner};
     const auto holds = [&](const auto &records) {
         return std::find(records.begin(), records.end(), release) != records.end();
     };
-    if (!holds(m_queue) && !holds(m_unseen)) {
+    if (!holds(m_queue) && !holds(m_unread)) {
         m_queue.push_back(release);
     }
 }
@@ -285,23 +286,23 @@
 void ClaimLedger::tick(Moment at)
 {
     decide(at);
-    m_fold.forgetBefore(forgettableBefore(at.wall, m_window));
+    m_fold.dropBefore(forgettableBefore(at.wall, m_window));
 }
 
 void ClaimLedger::decide(Moment at)
 {
-    std::vector<ClaimKey> givenUp;
+    std::vector<ClaimKey> decidedKeys;
     for (auto each = m_waiting.begin(); each != m_waiting.end();) {
         Step verdict = verdictOn(each->second, at);
         if (!verdict) {
             ++each;
             continue;
         }
-        givenUp.push_back(each->second.request.key);
+        decidedKeys.push_back(each->second.request.key);
         m_decisions.push_back({each->first, std::move(*verdict)});
         each = m_waiting.erase(each);
     }
-    for (const ClaimKey &key : givenUp) {
+    for (const ClaimKey &key : decidedKeys) {
         releaseIfUnused(key);
     }
 }
@@ -338,14 +339,14 @@
     if (!m_fold.covers(waiting.request.key.key)) {
         return refusalByAge(KeyAge::Expired);
     }
-    m_sending.insert(waiting.nonce);
+    m_permitted.insert(waiting.nonce);
     return MaySend{waiting.nonce};
 }
 
 ClaimLedger::Step ClaimLedger::onOthersClaim(const Waiting &waiting, Moment at) const
 {
-    const auto local = m_unseenOutcomes.find(m_fold.find(waiting.request.key)->owner);
-    if (local != m_unseenOutcomes.end()) {
+    const auto local = m_unreadOutcomes.find(m_fold.find(waiting.request.key)->owner);
+    if (local != m_unreadOutcomes.end()) {
         return verdictOf(local->second);
     }
     if (at.now < waiting.request.deadline) {
@@ -357,9 +358,9 @@
                    {}};
 }
 
-ClaimLedger::Step ClaimLedger::onFreeKey(Waiting &waiting, Moment at, bool spent)
+ClaimLedger::Step ClaimLedger::onFreeKey(Waiting &waiting, Moment at, bool isExhausted)
 {
-    if (spent) {
+    if (isExhausted) {
         return Refusal{RefusalReason::KeyExpired,
                        "the key was given up too often; nothing ran under it",
                        Ran::No,
@@ -368,9 +369,9 @@
     if (at.now >= waiting.claimBy) {
         return Refusal{RefusalReason::LogUnavailable,
                        "the claim did not get into the log in time; this request sent nothing",
-                       ranOfUnsent(waiting.request), at.now + ClaimPatience};
+                       ranOfUnsent(waiting.request), at.now + ClaimTimeout};
     }
-    if (waiting.seen || waiting.nonce.sequence == 0) {
+    if (waiting.isRead || waiting.nonce.sequence == 0) {
         enqueueClaim(waiting);
     }
     return std::nullopt;
@@ -384,7 +385,7 @@
 bool ClaimLedger::idle() const
 {
     const bool settledWaits = std::any_of(m_queue.begin(), m_queue.end(), isSettled);
-    return m_sending.empty() && m_batchState == BatchState::None && !settledWaits;
+    return m_permitted.empty() && m_batchState == BatchState::None && !settledWaits;
 }
 
 bool ClaimLedger::wantsRead() const
--- a/src/vanilladyke/policy/claim_ledger_test.cpp
+++ b/src/vanilladyke/policy/claim_ledger_test.cpp
@@ -28,7 +28,7 @@
     }
 };
 
-struct Asked
+struct SubmittedCall
 {
     ClaimRequest request;
     std::optional<ClaimVerdict> verdict;
@@ -45,14 +45,14 @@
 
     ClaimLedger ledger;
     std::vector<std::pair<ClaimKey, ClaimNonce>> permits;
-    std::optional<ClaimBatch> underWay;
+    std::optional<ClaimBatch> inProgress;
 };
 
 /// Simulation of nodes, callers and a log, driven by random steps.
-class World
+class ClaimSimulation
 {
 public:
-    explicit World(std::uint64_t seed)
+    explicit ClaimSimulation(std::uint64_t seed)
         : m_random(seed)
     {
         for (int i = 0; i < 3; ++i) {
@@ -88,7 +88,7 @@
             deliverLate();
             break;
         default:
-            restartSometimes();
+            restartRandomly();
             break;
         }
         chosen->ledger.tick(at()); // not `node`: it may have been restarted
@@ -126,27 +126,28 @@
         });
     }
 
-    [[nodiscard]] bool noneTwice() const
+    [[nodiscard]] bool noneSentTwice() const
     {
         return std::all_of(m_sent.begin(), m_sent.end(),
                            [](const auto &each) { return each.second <= 1; });
     }
 
     /// "Not run", returned to a repeat, must hold for all attempts, past and future.
-    [[nodiscard]] bool refusalsTrue() const
+    [[nodiscard]] bool refusalsAreTrue() const
     {
-        return std::all_of(m_asked.begin(), m_asked.end(), [&](const auto &each) {
+        return std::all_of(m_submitted.begin(), m_submitted.end(), [&](const auto &each) {
             const auto &[request, verdict] = each.second;
             const auto *refusal = verdict ? std::get_if<Refusal>(&*verdict) : nullptr;
-            const bool saysNo = refusal != nullptr && refusal->ran == Ran::No;
-            return !saysNo || !request.repeat || m_sent.count({request.key, request.request}) == 0;
+            const bool saysNotRun = refusal != nullptr && refusal->ran == Ran::No;
+            return !saysNotRun || !request.repeat
+                   || m_sent.count({request.key, request.request}) == 0;
         });
     }
 
     /// Every call to a node that has not been killed since has its verdict.
-    [[nodiscard]] bool allTold() const
+    [[nodiscard]] bool allDecided() const
     {
-        return std::all_of(m_asked.begin(), m_asked.end(), [&](const auto &each) {
+        return std::all_of(m_submitted.begin(), m_submitted.end(), [&](const auto &each) {
             return each.second.verdict || m_lost.contains(each.first);
         });
     }
@@ -159,7 +160,7 @@
 
     std::unique_ptr<Node> newNode()
     {
-        return std::make_unique<Node>("p" + std::to_string(++m_lives));
+        return std::make_unique<Node>("p" + std::to_string(++m_processes));
     }
 
     void ask(Node &node)
@@ -170,15 +171,15 @@
         request.request = RequestDigest(uniformBelow(m_random, 8) == 0 ? "other" : "same");
         request.deadline = at().now + milliseconds(500 + uniformBelow(m_random, 4000));
         request.repeat = uniformBelow(m_random, 2) == 0;
-        m_asked[request.ticket] = {request, std::nullopt};
-        m_askedOf[request.ticket] = &node;
+        m_submitted[request.ticket] = {request, std::nullopt};
+        m_submittedTo[request.ticket] = &node;
         node.ledger.ask(request, at());
     }
 
     void append(Node &node, std::optional<std::uint64_t> fate = std::nullopt)
     {
-        if (!node.underWay) {
-            node.underWay = node.ledger.nextBatch(at());
+        if (!node.inProgress) {
+            node.inProgress = node.ledger.nextBatch(at());
             return;
         }
         finishAppend(node, fate ? *fate : uniformBelow(m_random, 6));
@@ -186,11 +187,11 @@
 
     void finishAppend(Node &node, std::uint64_t fate)
     {
-        if (!node.underWay) {
+        if (!node.inProgress) {
             return;
         }
-        const ClaimBatch batch = std::move(*node.underWay);
-        node.underWay.reset();
+        const ClaimBatch batch = std::move(*node.inProgress);
+        node.inProgress.reset();
         if (fate == 1) {
             node.ledger.appended(AppendResult::NotDone, 0, at());
         } else if (fate == 2) { // written, but the answer was lost
@@ -249,7 +250,7 @@
         }
     }
 
-    void restartSometimes()
+    void restartRandomly()
     {
         if (uniformBelow(m_random, 4) != 0) {
             return;
@@ -260,11 +261,11 @@
             const auto &key = node->permits.back().first;
             ++m_sent[{key, node->ledger.fold().find(key)->request}];
         }
-        if (node->underWay && uniformBelow(m_random, 2) == 0) {
-            m_log.late.push_back(*node->underWay);
+        if (node->inProgress && uniformBelow(m_random, 2) == 0) {
+            m_log.late.push_back(*node->inProgress);
         }
-        for (const auto &[ticket, whom] : m_askedOf) {
-            if (whom == node.get()) {
+        for (const auto &[ticket, target] : m_submittedTo) {
+            if (target == node.get()) {
                 m_lost.insert(ticket);
             }
         }
@@ -275,11 +276,11 @@
     {
         for (auto &node : m_nodes) {
             for (ClaimDecision &decision : node->ledger.takeDecisions()) {
-                Asked &asked = m_asked.at(decision.ticket);
+                SubmittedCall &call = m_submitted.at(decision.ticket);
                 if (const auto *permit = std::get_if<MaySend>(&decision.verdict)) {
-                    node->permits.emplace_back(asked.request.key, permit->nonce);
+                    node->permits.emplace_back(call.request.key, permit->nonce);
                 }
-                asked.verdict = std::move(decision.verdict);
+                call.verdict = std::move(decision.verdict);
             }
         }
     }
@@ -289,40 +290,40 @@
     FakeLog m_log;
     std::vector<std::unique_ptr<Node>> m_nodes;
     std::vector<ClaimKey> m_keys;
-    std::map<ClaimTicket, Asked> m_asked;
-    std::map<ClaimTicket, const Node *> m_askedOf;
+    std::map<ClaimTicket, SubmittedCall> m_submitted;
+    std::map<ClaimTicket, const Node *> m_submittedTo;
     std::set<ClaimTicket> m_lost; ///< submitted to a node that has been killed since
     std::map<std::pair<ClaimKey, RequestDigest>, int> m_sent;
-    std::uint64_t m_lives = 0;
+    std::uint64_t m_processes = 0;
     std::uint64_t m_tickets = 0;
 };
 
 /// Runs a simulation and returns the violated invariants.
-std::vector<std::string> faultsOf(std::uint64_t seed)
+std::vector<std::string> violationsOf(std::uint64_t seed)
 {
-    World world(seed);
+    ClaimSimulation simulation(seed);
     for (int i = 0; i < 400; ++i) {
-        world.step();
+        simulation.step();
     }
-    world.settle();
-    std::vector<std::string> faults;
-    const auto check = [&](bool holds, const char *fault) {
+    simulation.settle();
+    std::vector<std::string> violations;
+    const auto check = [&](bool holds, const char *violation) {
         if (!holds) {
-            faults.emplace_back(fault);
+            violations.emplace_back(violation);
         }
     };
-    check(world.noneTwice(), "a call was sent twice");
-    check(world.refusalsTrue(), "a refusal stated \"not run\" of a call that was sent");
-    check(world.foldsAgree(), "the nodes disagree on the owner of a key");
-    check(world.allTold(), "a call got no verdict");
-    return faults;
+    check(simulation.noneSentTwice(), "a call was sent twice");
+    check(simulation.refusalsAreTrue(), "a refusal stated \"not run\" of a call that was sent");
+    check(simulation.foldsAgree(), "the nodes disagree on the owner of a key");
+    check(simulation.allDecided(), "a call got no verdict");
+    return violations;
 }
 
 // Guards against duplicate execution and false "not run" refusals while nodes are killed and
 // restarted, appends are lost, delayed or duplicated, and callers repeat their calls at any node.
 RC_GTEST_PROP(ClaimLedger, AtMostOneSenderAndTrueRefusalsOverAnyInterleaving, (std::uint64_t seed))
 {
-    RC_ASSERT(faultsOf(seed) == std::vector<std::string>());
+    RC_ASSERT(violationsOf(seed) == std::vector<std::string>());
 }
 
 // Guards against an owner that differs between nodes: an append was written twice, and the node
@@ -331,7 +332,7 @@
 TEST(ClaimLedger, SeedsOfPastFailures)
 {
     for (const std::uint64_t seed : {15601420UL, 4302193093078UL, 188864944128732UL}) {
-        EXPECT_EQ(faultsOf(seed), std::vector<std::string>()) << seed;
+        EXPECT_EQ(violationsOf(seed), std::vector<std::string>()) << seed;
     }
 }
 
@@ -349,13 +350,13 @@
         return {ClaimTicket{ticket}, m_key, RequestDigest("d"), m_at.now + seconds(10), repeat};
     }
 
-    void pass(Duration span)
+    void advance(Duration span)
     {
         m_at.now += span;
         m_at.wall += span;
     }
 
-    ClaimVerdict only()
+    ClaimVerdict onlyVerdict()
     {
         const auto decisions = m_ledger.takeDecisions();
         EXPECT_EQ(decisions.size(), 1U);
@@ -389,10 +390,10 @@
     m_ledger.ask(request(1), m_at);
     const ClaimBatch batch = m_ledger.nextBatch(m_at).value();
     m_ledger.appended(AppendResult::InDoubt, 0, m_at);
-    pass(seconds(1));
+    advance(seconds(1));
     EXPECT_FALSE(m_ledger.nextBatch(m_at).has_value());
     m_ledger.read({m_at.now, 0, 1, {{0, m_at.wall, batch}}}, m_at);
-    EXPECT_TRUE(std::holds_alternative<MaySend>(only()));
+    EXPECT_TRUE(std::holds_alternative<MaySend>(onlyVerdict()));
     EXPECT_FALSE(m_ledger.nextBatch(m_at).has_value());
 }
 
@@ -403,9 +404,9 @@
     m_ledger.ask(request(1), m_at);
     const ClaimBatch batch = m_ledger.nextBatch(m_at).value();
     m_ledger.appended(AppendResult::InDoubt, 0, m_at);
-    pass(ClaimPatience);
+    advance(ClaimTimeout);
     m_ledger.tick(m_at);
-    const auto refusal = std::get<Refusal>(only());
+    const auto refusal = std::get<Refusal>(onlyVerdict());
     EXPECT_EQ(refusal.reason, RefusalReason::LogUnavailable);
     EXPECT_EQ(refusal.ran, Ran::No);
     m_ledger.read({m_at.now, 0, 1, {{0, m_at.wall, batch}}}, m_at);
@@ -421,9 +422,9 @@
 TEST_F(OneNode, ARepeatIsRefusedAsUnknownWhileTheLogIsDown)
 {
     m_ledger.ask(request(1, true), m_at);
-    pass(ClaimPatience);
+    advance(ClaimTimeout);
     m_ledger.tick(m_at);
-    EXPECT_EQ(std::get<Refusal>(only()).ran, Ran::Unknown);
+    EXPECT_EQ(std::get<Refusal>(onlyVerdict()).ran, Ran::Unknown);
 }
 
 TEST_F(OneNode, ARepeatGetsTheAnswerBeforeItsRecordIsInTheLog)
@@ -431,12 +432,12 @@
     m_ledger.ask(request(1), m_at);
     static_cast<void>(m_ledger.nextBatch(m_at));
     m_ledger.appended(AppendResult::Done, 0, m_at);
-    const auto permit = std::get<MaySend>(only());
+    const auto permit = std::get<MaySend>(onlyVerdict());
     m_ledger.ask(request(2), m_at);
     EXPECT_TRUE(m_ledger.takeDecisions().empty());
     m_ledger.settle(ClaimOutcome{m_key, permit.nonce, OutcomeKind::Answered, 201, "", "booked"});
     m_ledger.tick(m_at);
-    EXPECT_EQ(std::get<ClaimOutcome>(only()).body, "booked");
+    EXPECT_EQ(std::get<ClaimOutcome>(onlyVerdict()).body, "booked");
     EXPECT_FALSE(m_ledger.idle());
 }
 
@@ -444,9 +445,9 @@
 {
     m_ledger.ask(request(1), m_at);
     static_cast<void>(m_ledger.nextBatch(m_at));
-    pass(seconds(20)); // the process was paused
+    advance(seconds(20)); // the process was paused
     m_ledger.appended(AppendResult::Done, 0, m_at);
-    EXPECT_EQ(std::get<Refusal>(only()).reason, RefusalReason::TooLate);
+    EXPECT_EQ(std::get<Refusal>(onlyVerdict()).reason, RefusalReason::TooLate);
 }
 
 TEST_F(OneNode, TheSameKeyWithAnotherBodyIsRefused)
@@ -454,11 +455,11 @@
     m_ledger.ask(request(1), m_at);
     static_cast<void>(m_ledger.nextBatch(m_at));
     m_ledger.appended(AppendResult::Done, 0, m_at);
-    static_cast<void>(only());
+    static_cast<void>(onlyVerdict());
     ClaimRequest other = request(2, true);
     other.request = RequestDigest("other");
     m_ledger.ask(other, m_at);
-    const auto refusal = std::get<Refusal>(only());
+    const auto refusal = std::get<Refusal>(onlyVerdict());
     EXPECT_EQ(refusal.reason, RefusalReason::KeyReused);
     EXPECT_EQ(refusal.ran, Ran::No);
 }
@@ -467,9 +468,9 @@
 // recorded, so neither sending it nor refusing it as "not run" is safe.
 TEST_F(OneNode, AnExpiredKeyIsNeitherSentNorCalledNotRun)
 {
-    pass(Window + seconds(1));
+    advance(Window + seconds(1));
     m_ledger.ask(request(1), m_at);
-    const auto refusal = std::get<Refusal>(only());
+    const auto refusal = std::get<Refusal>(onlyVerdict());
     EXPECT_EQ(refusal.reason, RefusalReason::KeyExpired);
     EXPECT_EQ(refusal.ran, Ran::Unknown);
 }
@@ -479,7 +480,7 @@
 TEST_F(OneNode, AnAnswerFromBeforeTheOwnAppendChangesNothing)
 {
     const TimePoint before = m_at.now;
-    pass(milliseconds(5));
+    advance(milliseconds(5));
     m_ledger.ask(request(1), m_at);
     static_cast<void>(m_ledger.nextBatch(m_at));
     m_ledger.appended(AppendResult::Done, 0, m_at);
@@ -495,10 +496,10 @@
     m_ledger.ask(request(1), m_at);
     static_cast<void>(m_ledger.nextBatch(m_at));
     m_ledger.appended(AppendResult::Done, 0, m_at);
-    const auto permit = std::get<MaySend>(only());
+    const auto permit = std::get<MaySend>(onlyVerdict());
     m_ledger.settle(ClaimOutcome{m_key, permit.nonce, OutcomeKind::Answered, 200,
                                  std::string(1024, 'x'), ""});
-    pass(seconds(1));
+    advance(seconds(1));
     const ClaimBatch batch = m_ledger.nextBatch(m_at).value();
     EXPECT_TRUE(isWellFormed(batch.front()));
     EXPECT_EQ(std::get<ClaimOutcome>(batch.front()).kind, OutcomeKind::AnswerTooLarge);
@@ -509,7 +510,7 @@
     ClaimRequest each = request(1);
     each.key.customer = CustomerId(std::string(MostNameBytes + 1, 'x'));
     m_ledger.ask(each, m_at);
-    EXPECT_EQ(std::get<Refusal>(only()).reason, RefusalReason::BadRequest);
+    EXPECT_EQ(std::get<Refusal>(onlyVerdict()).reason, RefusalReason::BadRequest);
     EXPECT_FALSE(m_ledger.nextBatch(m_at).has_value());
 }
 
--- a/src/vanilladyke/policy/claim_record.cpp
+++ b/src/vanilladyke/policy/claim_record.cpp
@@ -4,22 +4,22 @@
 
 namespace {
 
-bool isName(const std::string &name)
+bool isValidName(const std::string &name)
 {
     return !name.empty() && name.size() <= MostNameBytes;
 }
 
-bool hasGoodBody(const Claim &claim)
+bool hasValidFields(const Claim &claim)
 {
-    return isName(claim.node.str()) && isName(claim.request.str());
+    return isValidName(claim.node.str()) && isValidName(claim.request.str());
 }
 
-bool hasGoodBody(const ClaimRelease & /*release*/)
+bool hasValidFields(const ClaimRelease & /*release*/)
 {
     return true;
 }
 
-bool hasGoodBody(const ClaimOutcome &outcome)
+bool hasValidFields(const ClaimOutcome &outcome)
 {
     return outcome.body.size() <= MostAnswerBytes && outcome.contentType.size() <= MostNameBytes
            && outcome.status <= MostStatus;
@@ -31,9 +31,9 @@
 {
     const ClaimKey &key = keyOf(record);
     const ClaimNonce &nonce = nonceOf(record);
-    return isName(key.customer.str()) && isName(key.service.str()) && isName(nonce.process.str())
-           && nonce.sequence != 0
-           && std::visit([](const auto &each) { return hasGoodBody(each); }, record);
+    return isValidName(key.customer.str()) && isValidName(key.service.str())
+           && isValidName(nonce.process.str()) && nonce.sequence != 0
+           && std::visit([](const auto &each) { return hasValidFields(each); }, record);
 }
 
 } // namespace vanilladyke
--- a/src/vanilladyke/policy/explain.cpp
+++ b/src/vanilladyke/policy/explain.cpp
@@ -40,7 +40,7 @@
     return sorted;
 }
 
-std::string_view sentenceOf(const std::string &reason)
+std::string_view reasonText(const std::string &reason)
 {
     if (reason == "near_tie") {
         return "several candidates cost about the same; one was selected at random, so that nodes "
@@ -108,7 +108,7 @@
         text += row(fleet, candidate);
     }
     text += fleet.engines[placement.winner->engine].id.str() + " (" + placement.reason + "): ";
-    text += sentenceOf(placement.reason);
+    text += reasonText(placement.reason);
     return text + "\n";
 }
 
--- a/src/vanilladyke/policy/placement.cpp
+++ b/src/vanilladyke/policy/placement.cpp
@@ -136,7 +136,8 @@
     // If the view has a holder of the prefix, a preferred engine without an entry has most likely
     // evicted it.
     const auto &holders = knowledge.holders;
-    const bool seen = !holders.empty() && holders.front().longest().tokens >= levels->shared.tokens;
+    const bool hasHolder =
+            !holders.empty() && holders.front().longest().tokens >= levels->shared.tokens;
     const std::vector<std::uint32_t> order =
             rendezvousOrder(engines, levels->shared.hash, homes + SpillCandidates);
     const std::size_t count = std::min<std::size_t>(homes, order.size());
@@ -144,15 +145,15 @@
         const auto key = static_cast<std::uint64_t>(fleet.engines[engine].key);
         return mixBits(levels->deepest.hash.low ^ key);
     };
-    const auto own = std::max_element(
+    const auto preferredOwner = std::max_element(
             order.begin(), order.begin() + static_cast<std::ptrdiff_t>(count),
             [&](std::uint32_t a, std::uint32_t b) { return scoreOf(a) < scoreOf(b); });
     for (std::size_t i = 0; i < order.size(); ++i) {
-        if (order.begin() + static_cast<std::ptrdiff_t>(i) == own) {
-            candidates.add(order[i], {{seen ? Evidence::ColdHome : Evidence::Home, Duration::zero(),
-                                       levels->deepest.tokens}});
+        if (order.begin() + static_cast<std::ptrdiff_t>(i) == preferredOwner) {
+            candidates.add(order[i], {{hasHolder ? Evidence::ColdHome : Evidence::Home,
+                                       Duration::zero(), levels->deepest.tokens}});
         } else if (i < count) {
-            candidates.add(order[i], {{seen ? Evidence::ColdHome : Evidence::SharedHome,
+            candidates.add(order[i], {{hasHolder ? Evidence::ColdHome : Evidence::SharedHome,
                                        Duration::zero(), levels->shared.tokens}});
         } else {
             candidates.add(order[i], {});
@@ -196,8 +197,8 @@
     candidate.prefill = spanOf(length);
 }
 
-void weigh(std::vector<Candidate> &candidates, const PlacementRequest &request, const Fleet &fleet,
-           const PlacementKnowledge &knowledge, TimePoint now)
+void predictCosts(std::vector<Candidate> &candidates, const PlacementRequest &request,
+                  const Fleet &fleet, const PlacementKnowledge &knowledge, TimePoint now)
 {
     std::uint32_t most = 0;
     for (const Candidate &candidate : candidates) {
@@ -213,7 +214,7 @@
         leastWait = std::min(leastWait, candidate.wait);
     }
     const Objective objective = fleet.bundle ? fleet.bundle->objective : Objective{};
-    const double recomputePrice = priceOfRecomputing(objective, leastWait);
+    const double recomputeWeight = priceOfRecomputing(objective, leastWait);
     for (Candidate &candidate : candidates) {
         const EngineView &engine = fleet.engines[candidate.engine];
         const double rate = engine.load.prefillTokensPerSecond;
@@ -223,7 +224,7 @@
         const std::uint32_t here = candidate.expectedCachedTokens + candidate.importedTokens;
         candidate.recomputedTokens = most > here ? most - here : 0;
         candidate.cost = objective.tailWeight * seconds(candidate.wait) + seconds(candidate.prefill)
-                         + recomputePrice * candidate.recomputedTokens / rate;
+                         + recomputeWeight * candidate.recomputedTokens / rate;
     }
 }
 
@@ -232,7 +233,7 @@
     return a.cost < b.cost;
 }
 
-bool near(const Candidate &candidate, const Candidate &best)
+bool isNearTie(const Candidate &candidate, const Candidate &best)
 {
     return candidate.cost <= best.cost * (1 + NearTieFraction) + NearTieSeconds
            && candidate.expectedCachedTokens >= best.expectedCachedTokens;
@@ -256,7 +257,7 @@
     return result.empty() ? candidates : result;
 }
 
-void choose(Placement &placement, Random &random)
+void selectWinner(Placement &placement, Random &random)
 {
     const Candidate cheapest =
             *std::min_element(placement.candidates.begin(), placement.candidates.end(), cheaper);
@@ -274,7 +275,7 @@
     }
     std::vector<const Candidate *> ties;
     for (const Candidate &candidate : all) {
-        if (near(candidate, best)) {
+        if (isNearTie(candidate, best)) {
             ties.push_back(&candidate);
         }
     }
@@ -330,8 +331,8 @@
         placement.reason = "no_engine";
         return placement;
     }
-    weigh(placement.candidates, request, fleet, knowledge, now);
-    choose(placement, random);
+    predictCosts(placement.candidates, request, fleet, knowledge, now);
+    selectWinner(placement, random);
     return placement;
 }
 
--- a/src/vanilladyke/policy/placement_test.cpp
+++ b/src/vanilladyke/policy/placement_test.cpp
@@ -15,7 +15,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr std::uint32_t GuideTokens = 6000;
+constexpr std::uint32_t SharedTokens = 6000;
 constexpr Incarnation First{1};
 
 Fleet fleetOf(std::size_t engines)
@@ -37,14 +37,14 @@
 }
 
 /// A request with a shared prefix and a message of its own.
-PlacementRequest requestFor(std::uint64_t guide, std::uint64_t question)
+PlacementRequest requestFor(std::uint64_t prefix, std::uint64_t message)
 {
     PlacementRequest request;
     request.customer = CustomerId("brand");
     request.model = ModelId("copy");
-    request.chain = {{{mixBits(guide), mixBits(guide + 7)}, GuideTokens, true},
-                     {{mixBits(question), mixBits(question + 9)}, GuideTokens + 200, true}};
-    request.promptTokens = GuideTokens + 200;
+    request.chain = {{{mixBits(prefix), mixBits(prefix + 7)}, SharedTokens, true},
+                     {{mixBits(message), mixBits(message + 9)}, SharedTokens + 200, true}};
+    request.promptTokens = SharedTokens + 200;
     request.answerTokens = 200;
     return request;
 }
@@ -60,10 +60,10 @@
     Random random(1);
     PlacementPolicy policy;
     const auto placement = policy.decide(requestFor(1, 2), fleet,
-                                         holderOf(fleet.engines[5], GuideTokens), {}, {}, random);
+                                         holderOf(fleet.engines[5], SharedTokens), {}, {}, random);
     ASSERT_TRUE(placement.winner.has_value());
     EXPECT_EQ(placement.winner->engine, 5U);
-    EXPECT_GT(placement.winner->expectedCachedTokens, GuideTokens * 9 / 10);
+    EXPECT_GT(placement.winner->expectedCachedTokens, SharedTokens * 9 / 10);
 }
 
 // Guards against prefix affinity that ignores load: the holder has a prefill backlog of seconds,
@@ -75,7 +75,7 @@
     Random random(1);
     PlacementPolicy policy;
     const auto placement = policy.decide(requestFor(1, 2), fleet,
-                                         holderOf(fleet.engines[5], GuideTokens), {}, {}, random);
+                                         holderOf(fleet.engines[5], SharedTokens), {}, {}, random);
     EXPECT_NE(placement.winner->engine, 5U);
 }
 
@@ -84,8 +84,8 @@
     const Fleet fleet = fleetOf(12);
     Random random(1);
     PlacementPolicy policy;
-    const KeptPrefix fast{GuideTokens, milliseconds(20), 100'000};
-    const KeptPrefix slow{GuideTokens, milliseconds(20), 1000};
+    const KeptPrefix fast{SharedTokens, milliseconds(20), 100'000};
+    const KeptPrefix slow{SharedTokens, milliseconds(20), 1000};
     const auto imported = policy.decide(requestFor(1, 2), fleet, {}, fast, {}, random);
     EXPECT_GT(imported.winner->importedTokens, 0U);
     EXPECT_LT(imported.winner->prefill, milliseconds(200));
@@ -98,13 +98,13 @@
 TEST(Placement, ARestartedNodePlacesAPrefixLikeTheOthers)
 {
     const Fleet fleet = fleetOf(18);
-    for (std::uint64_t guide = 1; guide <= 50; ++guide) {
-        Random random(guide);
-        Random other(guide + 1000);
+    for (std::uint64_t prefix = 1; prefix <= 50; ++prefix) {
+        Random random(prefix);
+        Random other(prefix + 1000);
         PlacementPolicy old;
         PlacementPolicy restarted;
-        const auto before = old.decide(requestFor(guide, 1), fleet, {}, {}, {}, random);
-        const auto after = restarted.decide(requestFor(guide, 2), fleet, {}, {}, {}, other);
+        const auto before = old.decide(requestFor(prefix, 1), fleet, {}, {}, {}, random);
+        const auto after = restarted.decide(requestFor(prefix, 2), fleet, {}, {}, {}, other);
         EXPECT_EQ(before.winner->engine, after.winner->engine);
     }
 }
@@ -182,16 +182,16 @@
     const Fleet fleet = fleetOf(100);
     Random random(1);
     PlacementPolicy policy;
-    for (std::size_t open = 0; open < fleet.engines.size(); ++open) {
+    for (std::size_t available = 0; available < fleet.engines.size(); ++available) {
         PlacementRequest request = requestFor(1, 2);
         for (std::size_t i = 0; i < fleet.engines.size(); ++i) {
-            if (i != open) {
+            if (i != available) {
                 request.excluded.push_back(fleet.engines[i].id);
             }
         }
         const auto placement = policy.decide(request, fleet, {}, {}, {}, random);
         ASSERT_TRUE(placement.winner.has_value());
-        EXPECT_EQ(placement.winner->engine, open);
+        EXPECT_EQ(placement.winner->engine, available);
     }
 }
 
@@ -213,7 +213,7 @@
     Fleet fleet = fleetOf(6);
     Random random(seed);
     const std::size_t engine = uniformBelow(random, fleet.engines.size());
-    const auto holders = holderOf(fleet.engines[engine], GuideTokens);
+    const auto holders = holderOf(fleet.engines[engine], SharedTokens);
     fleet.engines[engine].incarnation = Incarnation{2 + uniformBelow(random, 1000)};
     PlacementPolicy policy;
     const auto placement =
@@ -253,12 +253,12 @@
     Random random(1);
     PlacementPolicy policy;
     const auto placement = policy.decide(requestFor(1, 2), fleet,
-                                         holderOf(fleet.engines[5], GuideTokens), {}, {}, random);
-    const std::string text = explainText(GuideTokens + 200, fleet, placement);
+                                         holderOf(fleet.engines[5], SharedTokens), {}, {}, random);
+    const std::string text = explainText(SharedTokens + 200, fleet, placement);
     EXPECT_NE(text.find("engine-5 (least_cost): its predicted cost is the least"),
               std::string::npos)
             << text;
-    const auto fields = explainFields(GuideTokens + 200, fleet, placement);
+    const auto fields = explainFields(SharedTokens + 200, fleet, placement);
     ASSERT_GE(fields.size(), 9U);
     EXPECT_EQ(fields[3].key, "engine");
     EXPECT_EQ(fields[3].value, "engine-5");
--- a/src/vanilladyke/policy/rendezvous_test.cpp
+++ b/src/vanilladyke/policy/rendezvous_test.cpp
@@ -36,12 +36,12 @@
 {
     const std::vector<EngineView> engines = enginesOf(18);
     const FleetIndex index(engines);
-    std::map<std::uint32_t, int> homes;
+    std::map<std::uint32_t, int> preferredCounts;
     for (std::uint64_t i = 0; i < 18'000; ++i) {
-        ++homes[rendezvousOrder(*index.serving(ModelId("copy")), hashOf(i), 1).front()];
+        ++preferredCounts[rendezvousOrder(*index.serving(ModelId("copy")), hashOf(i), 1).front()];
     }
-    ASSERT_EQ(homes.size(), 18U);
-    for (const auto &[engine, count] : homes) {
+    ASSERT_EQ(preferredCounts.size(), 18U);
+    for (const auto &[engine, count] : preferredCounts) {
         EXPECT_GT(count, 800) << engine;
         EXPECT_LT(count, 1200) << engine;
     }
--- a/src/vanilladyke/policy/request_story.cpp
+++ b/src/vanilladyke/policy/request_story.cpp
@@ -18,13 +18,13 @@
                                        "configuration",  "weights_named",  "kept_cache_lost",
                                        "reader_doubted", "fleet_key_known"};
 
-struct Meaning
+struct OutcomeText
 {
     const char *outcome;
-    const char *words;
+    const char *text;
 };
 
-constexpr std::array<Meaning, 9> Meanings{{
+constexpr std::array<OutcomeText, 9> OutcomeTexts{{
         {"answered", "The caller received the server's complete answer."},
         {"backend_failed",
          "Every eligible server failed the request; the caller received the last failure."},
@@ -157,10 +157,11 @@
     }
     std::stable_sort(story.context.begin(), story.context.end(), byTime);
     const std::string outcome = fieldOf(story.own.back(), "outcome");
-    const auto meaning = std::find_if(Meanings.begin(), Meanings.end(),
-                                      [&](const Meaning &each) { return outcome == each.outcome; });
-    if (meaning != Meanings.end()) {
-        story.verdict = meaning->words;
+    const auto explanation =
+            std::find_if(OutcomeTexts.begin(), OutcomeTexts.end(),
+                         [&](const OutcomeText &each) { return outcome == each.outcome; });
+    if (explanation != OutcomeTexts.end()) {
+        story.verdict = explanation->text;
     } else if (outcome.empty()) {
         story.verdict =
                 "The request's last line is missing: the node ended or its log is incomplete.";
