--- a/include/vanilladyke/policy/cache_view.hpp
+++ b/include/vanilladyke/policy/cache_view.hpp
@@ -19,7 +19,7 @@
 namespace vanilladyke {
 
 /// @brief A cached prefix and the age of the last update on it.
-struct KnownLength
+struct CachedLength
 {
     std::uint32_t tokens = 0;
     Duration age{};      ///< since the update was received
@@ -38,13 +38,13 @@
 
     EngineKey engine{};
     Incarnation incarnation{};
-    std::array<KnownLength, MostLengths> lengths{};
+    std::array<CachedLength, MostLengths> lengths{};
     std::size_t lengthCount = 0;
 
     /// @brief The longest cached prefix.
-    [[nodiscard]] const KnownLength &longest() const { return lengths.front(); }
+    [[nodiscard]] const CachedLength &longest() const { return lengths.front(); }
     /// @brief Adds a shorter length if its update is at most half as old or newly trusted.
-    void add(const KnownLength &shorter);
+    void add(const CachedLength &shorter);
 };
 
 /// @brief One entry of the view, as transferred to another node.
--- a/include/vanilladyke/policy/placement.hpp
+++ b/include/vanilladyke/policy/placement.hpp
@@ -65,7 +65,7 @@
 };
 
 /// @brief An assumed cached prefix and the evidence for it.
-struct Belief
+struct PrefixEstimate
 {
     Evidence evidence = Evidence::None;
     Duration age{};           ///< of the evidence
@@ -75,8 +75,9 @@
 /// @brief One engine that was considered, with its predicted cost.
 struct Candidate
 {
-    std::size_t engine = 0;      ///< index into Fleet::engines
-    std::vector<Belief> beliefs; ///< longest first; each covers the tokens beyond the next one
+    std::size_t engine = 0; ///< index into Fleet::engines
+    std::vector<PrefixEstimate>
+            estimates; ///< longest first; each covers the tokens beyond the next one
     std::uint32_t expectedCachedTokens = 0;
     std::uint32_t importedTokens = 0; ///< to import from the kept-cache store; 0 for none
     Duration wait{};                  ///< until the prefill can start
--- a/include/vanilladyke/policy/survival.hpp
+++ b/include/vanilladyke/policy/survival.hpp
@@ -32,7 +32,7 @@
     /// @brief Records one answer.
     /// @param believed tokens assumed cached by the evidence
     /// @param cached tokens of them that were cached
-    void learn(Evidence evidence, Duration age, std::uint32_t believed, std::uint32_t cached);
+    void learn(Evidence evidence, Duration age, std::uint32_t assumed, std::uint32_t cached);
 
 private:
     static constexpr std::size_t EvidenceCount = 6;
--- a/src/vanilladyke/policy/cache_view.cpp
+++ b/src/vanilladyke/policy/cache_view.cpp
@@ -6,9 +6,9 @@
 
 namespace vanilladyke {
 
-void PrefixHolder::add(const KnownLength &shorter)
+void PrefixHolder::add(const CachedLength &shorter)
 {
-    const KnownLength &last = lengths[lengthCount - 1];
+    const CachedLength &last = lengths[lengthCount - 1];
     const bool fresher = shorter.age <= last.age / 2 || (shorter.trusted && !last.trusted);
     if (fresher && lengthCount < MostLengths) {
         lengths[lengthCount++] = shorter;
@@ -98,8 +98,8 @@
             continue;
         }
         const TrackedEngine &engine = m_engines[entry.engine];
-        const KnownLength length{cut.tokens, now - entry.updatedAt,
-                                 entry.updatedAt >= engine.trustedSince};
+        const CachedLength length{cut.tokens, now - entry.updatedAt,
+                                  entry.updatedAt >= engine.trustedSince};
         const auto found =
                 std::find_if(holders.begin(), holders.end(), [&](const PrefixHolder &holder) {
                     return holder.engine == engine.key;
--- a/src/vanilladyke/policy/explain.cpp
+++ b/src/vanilladyke/policy/explain.cpp
@@ -26,10 +26,10 @@
 
 std::string evidenceOf(const Candidate &candidate)
 {
-    if (candidate.beliefs.empty()) {
+    if (candidate.estimates.empty()) {
         return toString(Evidence::None);
     }
-    return toString(candidate.beliefs.front().evidence);
+    return toString(candidate.estimates.front().evidence);
 }
 
 std::vector<Candidate> cheapestFirst(const Placement &placement)
--- a/src/vanilladyke/policy/placement.cpp
+++ b/src/vanilladyke/policy/placement.cpp
@@ -50,19 +50,19 @@
     {}
 
     /// Adds the engine. If it is already there, keeps the estimates with more expected tokens.
-    void add(std::size_t engine, std::vector<Belief> beliefs)
+    void add(std::size_t engine, std::vector<PrefixEstimate> estimates)
     {
         if (!serves(m_fleet.engines[engine], m_request.model) || excluded(engine)) {
             return;
         }
-        const std::uint32_t expected = expectedTokens(beliefs);
+        const std::uint32_t expected = expectedTokens(estimates);
         const auto found = std::find_if(m_list.begin(), m_list.end(), [&](const Candidate &each) {
             return each.engine == engine;
         });
         Candidate *candidate = found == m_list.end() ? &m_list.emplace_back() : &*found;
         candidate->engine = engine;
-        if (expected > candidate->expectedCachedTokens || candidate->beliefs.empty()) {
-            candidate->beliefs = std::move(beliefs);
+        if (expected > candidate->expectedCachedTokens || candidate->estimates.empty()) {
+            candidate->estimates = std::move(estimates);
             candidate->expectedCachedTokens = expected;
         }
     }
@@ -71,13 +71,13 @@
     [[nodiscard]] std::vector<Candidate> take() { return std::move(m_list); }
 
 private:
-    [[nodiscard]] std::uint32_t expectedTokens(const std::vector<Belief> &beliefs) const
+    [[nodiscard]] std::uint32_t expectedTokens(const std::vector<PrefixEstimate> &estimates) const
     {
         double sum = 0;
-        for (std::size_t i = 0; i < beliefs.size(); ++i) {
-            const std::uint32_t next = i + 1 < beliefs.size() ? beliefs[i + 1].tokens : 0;
-            sum += m_survival.fraction(beliefs[i].evidence, beliefs[i].age)
-                   * (beliefs[i].tokens - next);
+        for (std::size_t i = 0; i < estimates.size(); ++i) {
+            const std::uint32_t next = i + 1 < estimates.size() ? estimates[i + 1].tokens : 0;
+            sum += m_survival.fraction(estimates[i].evidence, estimates[i].age)
+                   * (estimates[i].tokens - next);
         }
         return static_cast<std::uint32_t>(sum);
     }
@@ -94,16 +94,16 @@
     std::vector<Candidate> m_list;
 };
 
-std::vector<Belief> beliefsIn(const PrefixHolder &holder)
+std::vector<PrefixEstimate> estimatesOf(const PrefixHolder &holder)
 {
-    std::vector<Belief> beliefs;
-    beliefs.reserve(holder.lengthCount);
+    std::vector<PrefixEstimate> estimates;
+    estimates.reserve(holder.lengthCount);
     for (std::size_t i = 0; i < holder.lengthCount; ++i) {
-        const KnownLength &length = holder.lengths[i];
-        beliefs.push_back(
+        const CachedLength &length = holder.lengths[i];
+        estimates.push_back(
                 {length.trusted ? Evidence::Known : Evidence::Doubted, length.age, length.tokens});
     }
-    return beliefs;
+    return estimates;
 }
 
 /// Ignores entries of another incarnation, even if the view has not received the new one yet: the
@@ -116,7 +116,7 @@
         if (!position || fleet.engines[*position].incarnation != holder.incarnation) {
             continue;
         }
-        candidates.add(*position, beliefsIn(holder));
+        candidates.add(*position, estimatesOf(holder));
         if (++added == HolderCandidates) {
             return;
         }
--- a/src/vanilladyke/policy/placement_policy.cpp
+++ b/src/vanilladyke/policy/placement_policy.cpp
@@ -76,10 +76,10 @@
 
 void PlacementPolicy::learn(const PlacedRequest &placed, std::uint32_t cachedTokens)
 {
-    const std::vector<Belief> &beliefs = placed.chosen.beliefs;
-    for (std::size_t i = 0; i < beliefs.size(); ++i) {
-        const std::uint32_t next = i + 1 < beliefs.size() ? beliefs[i + 1].tokens : 0;
-        m_survival.learn(beliefs[i].evidence, beliefs[i].age, beliefs[i].tokens - next,
+    const std::vector<PrefixEstimate> &estimates = placed.chosen.estimates;
+    for (std::size_t i = 0; i < estimates.size(); ++i) {
+        const std::uint32_t next = i + 1 < estimates.size() ? estimates[i + 1].tokens : 0;
+        m_survival.learn(estimates[i].evidence, estimates[i].age, estimates[i].tokens - next,
                          cachedTokens > next ? cachedTokens - next : 0);
     }
 }
--- a/src/vanilladyke/policy/placement_test.cpp
+++ b/src/vanilladyke/policy/placement_test.cpp
@@ -51,7 +51,7 @@
 
 std::vector<PrefixHolder> holderOf(const EngineView &engine, std::uint32_t tokens)
 {
-    return {{engine.key, engine.incarnation, {KnownLength{tokens, seconds(1), true}}, 1}};
+    return {{engine.key, engine.incarnation, {CachedLength{tokens, seconds(1), true}}, 1}};
 }
 
 TEST(Placement, GoesToTheHolderWhenQueuesAreShort)
@@ -219,9 +219,9 @@
     const auto placement =
             policy.decide(requestFor(random(), random()), fleet, holders, {}, {}, random);
     for (const Candidate &candidate : placement.candidates) {
-        for (const Belief &belief : candidate.beliefs) {
-            RC_ASSERT(belief.evidence != Evidence::Known);
-            RC_ASSERT(belief.evidence != Evidence::Doubted);
+        for (const PrefixEstimate &estimate : candidate.estimates) {
+            RC_ASSERT(estimate.evidence != Evidence::Known);
+            RC_ASSERT(estimate.evidence != Evidence::Doubted);
         }
     }
 }
--- a/src/vanilladyke/policy/slot_forecast_test.cpp
+++ b/src/vanilladyke/policy/slot_forecast_test.cpp
@@ -126,7 +126,7 @@
     request.firstTokenDeadline = start + seconds(6);
     const std::vector<PrefixHolder> holders{{fleet.engines[0].key,
                                              fleet.engines[0].incarnation,
-                                             {KnownLength{40'000, seconds(1), true}},
+                                             {CachedLength{40'000, seconds(1), true}},
                                              1}};
     PlacementPolicy policy;
     Random random(1);
--- a/src/vanilladyke/policy/survival.cpp
+++ b/src/vanilladyke/policy/survival.cpp
@@ -52,13 +52,13 @@
     return sum / (cell.weight + PriorWeight);
 }
 
-void Survival::learn(Evidence evidence, Duration age, std::uint32_t believed, std::uint32_t cached)
+void Survival::learn(Evidence evidence, Duration age, std::uint32_t assumed, std::uint32_t cached)
 {
-    if (evidence == Evidence::None || believed == 0) {
+    if (evidence == Evidence::None || assumed == 0) {
         return;
     }
     Cell &cell = m_cells[static_cast<std::size_t>(evidence)][classOf(age)];
-    const double fraction = std::min(1.0, static_cast<double>(cached) / believed);
+    const double fraction = std::min(1.0, static_cast<double>(cached) / assumed);
     cell.fractions = cell.fractions * Fading + fraction;
     cell.weight = cell.weight * Fading + 1;
 }
