--- a/include/vanilladyke/control/shared_cache_view.hpp
+++ b/include/vanilladyke/control/shared_cache_view.hpp
@@ -27,7 +27,7 @@
 
     /// @brief As CacheView::entries, over all shards; @p from is 0 or what the last piece named
     /// next.
-    [[nodiscard]] CachePiece entries(std::size_t from, std::size_t most, TimePoint now) const;
+    [[nodiscard]] CacheEntryPage entries(std::size_t from, std::size_t most, TimePoint now) const;
 
 private:
     static constexpr std::size_t Shards = 16;
--- a/include/vanilladyke/policy/cache_view.hpp
+++ b/include/vanilladyke/policy/cache_view.hpp
@@ -59,7 +59,7 @@
 };
 
 /// @brief A page of entries and the position of the next page; 0 if there is none.
-struct CachePiece
+struct CacheEntryPage
 {
     std::vector<CacheEntry> entries;
     std::size_t next = 0;
@@ -83,7 +83,7 @@
     void removeEngine(EngineKey engine);
     /// @brief Records that updates of the engine were lost, possibly evictions: entries received
     /// before now are reported as not trusted.
-    void distrust(EngineKey engine, TimePoint now);
+    void markUntrusted(EngineKey engine, TimePoint now);
     /// @brief Records that the engine cached the prefix. Ignored unless the incarnation is current.
     void stored(EngineKey engine, Incarnation incarnation, const ChainHash &hash, TimePoint now);
     void evicted(EngineKey engine, Incarnation incarnation, const ChainHash &hash);
@@ -92,7 +92,7 @@
     void addHolders(const PrefixCut &cut, TimePoint now, std::vector<PrefixHolder> &holders) const;
     /// @brief Returns up to @p most valid entries from position @p from on, for transfer to
     /// another node.
-    [[nodiscard]] CachePiece entries(std::size_t from, std::size_t most, TimePoint now) const;
+    [[nodiscard]] CacheEntryPage entries(std::size_t from, std::size_t most, TimePoint now) const;
     /// @brief Returns engines with their longest cached prefix, longest first; O(cuts).
     [[nodiscard]] std::vector<PrefixHolder> holders(const PrefixChain &chain, TimePoint now) const;
 
--- a/include/vanilladyke/policy/survival.hpp
+++ b/include/vanilladyke/policy/survival.hpp
@@ -16,11 +16,11 @@
 /// @brief Evidence that an engine has a prefix cached.
 enum class Evidence {
     None,
-    Known,      ///< the cache view has an entry
-    Doubted,    ///< the view has an entry, but updates of the engine have been lost since
-    Home,       ///< no entry, but the preferred engine of the prefix for all nodes
-    SharedHome, ///< as Home, but only for the level that many prefixes share
-    ColdHome,   ///< a preferred engine without an entry, while other engines have one
+    Known,           ///< the cache view has an entry
+    Untrusted,       ///< the view has an entry, but updates of the engine have been lost since
+    Preferred,       ///< no entry, but the preferred engine of the prefix for all nodes
+    PreferredShared, ///< as Home, but only for the level that many prefixes share
+    PreferredCold,   ///< a preferred engine without an entry, while other engines have one
 };
 
 /// @brief The fraction of assumed cached tokens that were actually cached, by evidence and age.
--- a/src/vanilladyke/control/dump_state.cpp
+++ b/src/vanilladyke/control/dump_state.cpp
@@ -10,7 +10,7 @@
     std::vector<CacheEntry> entries;
     std::size_t place = 0;
     do {
-        CachePiece piece = view.entries(place, MostDumpedEntries - entries.size(), now);
+        CacheEntryPage piece = view.entries(place, MostDumpedEntries - entries.size(), now);
         entries.insert(entries.end(), piece.entries.begin(), piece.entries.end());
         place = piece.next;
     } while (place != 0 && entries.size() < MostDumpedEntries);
--- a/src/vanilladyke/control/shared_cache_view.cpp
+++ b/src/vanilladyke/control/shared_cache_view.cpp
@@ -23,7 +23,7 @@
 {
     for (Shard &shard : m_shards) {
         const std::unique_lock lock(shard.mutex);
-        shard.view.distrust(engine, now);
+        shard.view.markUntrusted(engine, now);
     }
 }
 
@@ -54,7 +54,7 @@
     return holders;
 }
 
-CachePiece SharedCacheView::entries(std::size_t from, std::size_t most, TimePoint now) const
+CacheEntryPage SharedCacheView::entries(std::size_t from, std::size_t most, TimePoint now) const
 {
     // A place is a shard and a place inside it, so that one number can stand for both.
     std::size_t shardIndex = from % Shards;
@@ -62,7 +62,7 @@
     while (shardIndex < Shards) {
         const Shard &shard = m_shards.at(shardIndex);
         const std::shared_lock lock(shard.mutex);
-        CachePiece piece = shard.view.entries(place, most, now);
+        CacheEntryPage piece = shard.view.entries(place, most, now);
         if (piece.next != 0) {
             piece.next = piece.next * Shards + shardIndex;
             return piece;
--- a/src/vanilladyke/control/snapshot_stores.cpp
+++ b/src/vanilladyke/control/snapshot_stores.cpp
@@ -8,7 +8,8 @@
 
 SnapshotPiece writeCachePiece(const SharedCacheView &view, std::uint64_t cursor)
 {
-    const CachePiece entries = view.entries(cursor, CacheEntriesPerPiece, MonotonicClock::now());
+    const CacheEntryPage entries =
+            view.entries(cursor, CacheEntriesPerPiece, MonotonicClock::now());
     SnapshotPiece piece;
     piece.nextCursor = entries.next;
     piece.items.reserve(entries.entries.size());
--- a/src/vanilladyke/experiment/ways.cpp
+++ b/src/vanilladyke/experiment/ways.cpp
@@ -216,7 +216,7 @@
 {
     const EngineView &view = m_fleet.engines[engine];
     if (gap) {
-        m_view.distrust(view.key, now);
+        m_view.markUntrusted(view.key, now);
     }
     for (const CacheChange &change : changes) {
         if (change.stored) {
--- a/src/vanilladyke/policy/cache_view.cpp
+++ b/src/vanilladyke/policy/cache_view.cpp
@@ -51,7 +51,7 @@
     }
 }
 
-void CacheView::distrust(EngineKey engine, TimePoint now)
+void CacheView::markUntrusted(EngineKey engine, TimePoint now)
 {
     const auto found = m_index.find(engine);
     if (found != m_index.end()) {
@@ -122,9 +122,9 @@
     return holders;
 }
 
-CachePiece CacheView::entries(std::size_t from, std::size_t most, TimePoint now) const
+CacheEntryPage CacheView::entries(std::size_t from, std::size_t most, TimePoint now) const
 {
-    CachePiece piece;
+    CacheEntryPage piece;
     for (std::size_t i = from; i < m_entries.size(); ++i) {
         const Entry &entry = m_entries[i];
         if (!isValid(entry)) {
--- a/src/vanilladyke/policy/cache_view_test.cpp
+++ b/src/vanilladyke/policy/cache_view_test.cpp
@@ -90,7 +90,7 @@
     CacheView view(1U << 16U);
     view.setIncarnation(One, First, at(0));
     view.stored(One, First, hashOf(1), at(1));
-    view.distrust(One, at(2));
+    view.markUntrusted(One, at(2));
     EXPECT_FALSE(view.holders(chainOf(1, 1), at(3)).at(0).longest().trusted);
     view.stored(One, First, hashOf(1), at(4));
     EXPECT_TRUE(view.holders(chainOf(1, 1), at(5)).at(0).longest().trusted);
--- a/src/vanilladyke/policy/learning_test.cpp
+++ b/src/vanilladyke/policy/learning_test.cpp
@@ -23,7 +23,7 @@
     EXPECT_GT(before, 0.8);
     EXPECT_LT(survival.fraction(Evidence::Known, seconds(3)), 0.25);
     EXPECT_GT(survival.fraction(Evidence::Known, milliseconds(60)), 0.95);
-    EXPECT_GT(survival.fraction(Evidence::Doubted, seconds(3)), 0.4);
+    EXPECT_GT(survival.fraction(Evidence::Untrusted, seconds(3)), 0.4);
 }
 
 TEST(Survival, NothingBelievedMeansNothingExpected)
--- a/src/vanilladyke/policy/placement.cpp
+++ b/src/vanilladyke/policy/placement.cpp
@@ -100,8 +100,8 @@
     estimates.reserve(holder.lengthCount);
     for (std::size_t i = 0; i < holder.lengthCount; ++i) {
         const CachedLength &length = holder.lengths[i];
-        estimates.push_back(
-                {length.trusted ? Evidence::Known : Evidence::Doubted, length.age, length.tokens});
+        estimates.push_back({length.trusted ? Evidence::Known : Evidence::Untrusted, length.age,
+                             length.tokens});
     }
     return estimates;
 }
@@ -150,11 +150,12 @@
             [&](std::uint32_t a, std::uint32_t b) { return scoreOf(a) < scoreOf(b); });
     for (std::size_t i = 0; i < order.size(); ++i) {
         if (order.begin() + static_cast<std::ptrdiff_t>(i) == preferredOwner) {
-            candidates.add(order[i], {{hasHolder ? Evidence::ColdHome : Evidence::Home,
+            candidates.add(order[i], {{hasHolder ? Evidence::PreferredCold : Evidence::Preferred,
                                        Duration::zero(), levels->deepest.tokens}});
         } else if (i < count) {
-            candidates.add(order[i], {{hasHolder ? Evidence::ColdHome : Evidence::SharedHome,
-                                       Duration::zero(), levels->shared.tokens}});
+            candidates.add(order[i],
+                           {{hasHolder ? Evidence::PreferredCold : Evidence::PreferredShared,
+                             Duration::zero(), levels->shared.tokens}});
         } else {
             candidates.add(order[i], {});
         }
--- a/src/vanilladyke/policy/placement_test.cpp
+++ b/src/vanilladyke/policy/placement_test.cpp
@@ -221,7 +221,7 @@
     for (const Candidate &candidate : placement.candidates) {
         for (const PrefixEstimate &estimate : candidate.estimates) {
             RC_ASSERT(estimate.evidence != Evidence::Known);
-            RC_ASSERT(estimate.evidence != Evidence::Doubted);
+            RC_ASSERT(estimate.evidence != Evidence::Untrusted);
         }
     }
 }
--- a/src/vanilladyke/policy/survival.cpp
+++ b/src/vanilladyke/policy/survival.cpp
@@ -23,12 +23,12 @@
         return 0;
     case Evidence::Known:
         return std::exp2(-std::chrono::duration<double>(age).count() / HalfLifeSeconds);
-    case Evidence::Doubted:
+    case Evidence::Untrusted:
         return std::exp2(-std::chrono::duration<double>(age).count() / HalfLifeSeconds) / 2;
-    case Evidence::Home:
-    case Evidence::SharedHome:
+    case Evidence::Preferred:
+    case Evidence::PreferredShared:
         return 0.5;
-    case Evidence::ColdHome:
+    case Evidence::PreferredCold:
         return 0.1;
     }
     return 0;
@@ -70,13 +70,13 @@
         return "none";
     case Evidence::Known:
         return "known";
-    case Evidence::Doubted:
+    case Evidence::Untrusted:
         return "doubted";
-    case Evidence::Home:
+    case Evidence::Preferred:
         return "home";
-    case Evidence::SharedHome:
+    case Evidence::PreferredShared:
         return "shared_home";
-    case Evidence::ColdHome:
+    case Evidence::PreferredCold:
         return "cold_home";
     }
     return "none";
