--- a/include/vanilladyke/policy/hot_prefixes.hpp
+++ b/include/vanilladyke/policy/hot_prefixes.hpp
@@ -26,17 +26,17 @@
     /// @param engineTime engine time that it uses, divided by the requests that run concurrently
     /// @param nodes number of nodes that share the traffic
     /// @return number of engines that should cache the prefix
-    std::uint32_t note(const ChainHash &prefix, Duration engineTime, std::uint32_t nodes,
-                       TimePoint now);
+    std::uint32_t countRequest(const ChainHash &prefix, Duration engineTime, std::uint32_t nodes,
+                               TimePoint now);
 
     /// @brief Number of engines that should cache the prefix, as of its last counted request.
-    [[nodiscard]] std::uint32_t homes(const ChainHash &prefix) const;
+    [[nodiscard]] std::uint32_t preferredCount(const ChainHash &prefix) const;
 
 private:
     struct Tracked
     {
         double work = 0; ///< engine seconds, exponentially decayed
-        std::uint32_t homes = 1;
+        std::uint32_t preferredCount = 1;
         TimePoint changedAt;
     };
 
--- a/include/vanilladyke/policy/placement.hpp
+++ b/include/vanilladyke/policy/placement.hpp
@@ -54,13 +54,13 @@
 };
 
 /// @brief Inputs of a placement decision besides the fleet.
-struct PlacementKnowledge
+struct PlacementInputs
 {
     std::span<const PrefixHolder> holders; ///< longest prefix first
     const Survival &survival;
     const InFlight &inFlight;
     const SlotForecast &slots;
-    std::uint32_t homes = 1; ///< number of engines that should cache the shared prefix
+    std::uint32_t preferredCount = 1; ///< number of engines that should cache the shared prefix
     KeptPrefix kept;
 };
 
@@ -98,7 +98,7 @@
 
 /// @brief Selects the engine with the lowest predicted cost.
 [[nodiscard]] Placement place(const PlacementRequest &request, const Fleet &fleet,
-                              const PlacementKnowledge &knowledge, TimePoint now, Random &random);
+                              const PlacementInputs &inputs, TimePoint now, Random &random);
 
 /// @brief Predicted queueing of a new request at an engine; the two waits overlap.
 struct PredictedWait
--- a/src/vanilladyke/policy/hot_prefixes.cpp
+++ b/src/vanilladyke/policy/hot_prefixes.cpp
@@ -15,7 +15,7 @@
 /// A preferred engine is removed only if the others stay below this utilization. The hysteresis
 /// between the two bounds avoids discarding a warm cache on each small change of the rate.
 constexpr double UseAfterLeaving = 0.4;
-constexpr double MostHomes = 4096;
+constexpr double MostPreferredEngines = 4096;
 
 double faded(double work, Duration since)
 {
@@ -24,8 +24,8 @@
 
 } // namespace
 
-std::uint32_t HotPrefixes::note(const ChainHash &prefix, Duration engineTime, std::uint32_t nodes,
-                                TimePoint now)
+std::uint32_t HotPrefixes::countRequest(const ChainHash &prefix, Duration engineTime,
+                                        std::uint32_t nodes, TimePoint now)
 {
     if (m_tracked.size() >= MostTracked && !m_tracked.contains(prefix)) {
         makeRoom(now);
@@ -34,17 +34,18 @@
     tracked.work = faded(tracked.work, now - tracked.changedAt) + secondsOf(engineTime);
     tracked.changedAt = now;
     const double enginesFull = tracked.work / MemorySeconds * nodes;
-    const double wanted = std::clamp(std::ceil(enginesFull / WantedUse), 1.0, MostHomes);
-    const double least = std::clamp(std::ceil(enginesFull / UseAfterLeaving), 1.0, MostHomes);
-    const auto grown = std::max(tracked.homes, static_cast<std::uint32_t>(wanted));
-    tracked.homes = std::min(grown, static_cast<std::uint32_t>(std::max(least, wanted)));
-    return tracked.homes;
+    const double wanted = std::clamp(std::ceil(enginesFull / WantedUse), 1.0, MostPreferredEngines);
+    const double least =
+            std::clamp(std::ceil(enginesFull / UseAfterLeaving), 1.0, MostPreferredEngines);
+    const auto grown = std::max(tracked.preferredCount, static_cast<std::uint32_t>(wanted));
+    tracked.preferredCount = std::min(grown, static_cast<std::uint32_t>(std::max(least, wanted)));
+    return tracked.preferredCount;
 }
 
-std::uint32_t HotPrefixes::homes(const ChainHash &prefix) const
+std::uint32_t HotPrefixes::preferredCount(const ChainHash &prefix) const
 {
     const auto found = m_tracked.find(prefix);
-    return found == m_tracked.end() ? 1 : found->second.homes;
+    return found == m_tracked.end() ? 1 : found->second.preferredCount;
 }
 
 /// Evicts the less used half in one pass, so that the amortized cost per request stays small.
--- a/src/vanilladyke/policy/learning_test.cpp
+++ b/src/vanilladyke/policy/learning_test.cpp
@@ -58,11 +58,11 @@
     std::uint32_t homes = 0;
     for (int i = 0; i < 3000; ++i) {
         now += milliseconds(10);
-        homes = hot.note(bulletin, std::chrono::milliseconds(20), 1, now);
+        homes = hot.countRequest(bulletin, std::chrono::milliseconds(20), 1, now);
     }
     EXPECT_EQ(homes, 4U); // 100 a second at 20 ms fill two engines; at 60 % use, four
     now += seconds(60);
-    EXPECT_EQ(hot.note(bulletin, std::chrono::milliseconds(20), 1, now), 1U);
+    EXPECT_EQ(hot.countRequest(bulletin, std::chrono::milliseconds(20), 1, now), 1U);
 }
 
 TEST(HotPrefixes, ASmallChangeOfRateKeepsTheHomes)
@@ -72,11 +72,11 @@
     TimePoint now;
     for (int i = 0; i < 3000; ++i) {
         now += milliseconds(10);
-        static_cast<void>(hot.note(guide, std::chrono::milliseconds(20), 1, now));
+        static_cast<void>(hot.countRequest(guide, std::chrono::milliseconds(20), 1, now));
     }
     for (int i = 0; i < 1000; ++i) {
         now += milliseconds(12);
-        EXPECT_EQ(hot.note(guide, std::chrono::milliseconds(20), 1, now), 4U);
+        EXPECT_EQ(hot.countRequest(guide, std::chrono::milliseconds(20), 1, now), 4U);
     }
 }
 
@@ -88,9 +88,9 @@
     std::uint32_t homes = 0;
     for (std::uint64_t i = 0; i < 20'000; ++i) {
         now += milliseconds(1);
-        static_cast<void>(hot.note({2, i}, std::chrono::milliseconds(20), 1, now));
+        static_cast<void>(hot.countRequest({2, i}, std::chrono::milliseconds(20), 1, now));
         if (i % 10 == 0) {
-            homes = hot.note(guide, std::chrono::milliseconds(20), 1, now);
+            homes = hot.countRequest(guide, std::chrono::milliseconds(20), 1, now);
         }
     }
     EXPECT_EQ(homes, 4U);
--- a/src/vanilladyke/policy/placement.cpp
+++ b/src/vanilladyke/policy/placement.cpp
@@ -12,7 +12,7 @@
 constexpr std::size_t HolderCandidates = 6;
 /// Candidates from the rendezvous order after the preferred ones: the overflow of a full engine.
 constexpr std::uint32_t SpillCandidates = 2;
-constexpr std::uint32_t MostHomeCandidates = 8;
+constexpr std::uint32_t MostPreferredCandidates = 8;
 /// Two random choices find an idle engine nearly as well as a full scan, at bounded cost.
 constexpr std::size_t RandomCandidates = 2;
 /// Cost differences within these bounds are below the accuracy of delayed load reports.
@@ -42,11 +42,10 @@
 class Candidates
 {
 public:
-    Candidates(const PlacementRequest &request, const Fleet &fleet,
-               const PlacementKnowledge &knowledge)
+    Candidates(const PlacementRequest &request, const Fleet &fleet, const PlacementInputs &inputs)
         : m_request(request)
         , m_fleet(fleet)
-        , m_survival(knowledge.survival)
+        , m_survival(inputs.survival)
     {}
 
     /// Adds the engine. If it is already there, keeps the estimates with more expected tokens.
@@ -108,10 +107,10 @@
 
 /// Ignores entries of another incarnation, even if the view has not received the new one yet: the
 /// restarted engine has lost its cache.
-void addHolders(const Fleet &fleet, const PlacementKnowledge &knowledge, Candidates &candidates)
+void addHolders(const Fleet &fleet, const PlacementInputs &inputs, Candidates &candidates)
 {
     std::size_t added = 0;
-    for (const PrefixHolder &holder : knowledge.holders) {
+    for (const PrefixHolder &holder : inputs.holders) {
         const auto position = fleet.index->position(holder.engine);
         if (!position || fleet.engines[*position].incarnation != holder.incarnation) {
             continue;
@@ -125,22 +124,22 @@
 
 /// Adds the preferred engines of the shared prefix. One of them is selected by the deepest shared
 /// level, so that the longer prefixes under a hot one are divided among its preferred engines.
-void addHomes(const PlacementRequest &request, const Fleet &fleet, const ModelEngines &engines,
-              const PlacementKnowledge &knowledge, Candidates &candidates)
+void addPreferred(const PlacementRequest &request, const Fleet &fleet, const ModelEngines &engines,
+                  const PlacementInputs &inputs, Candidates &candidates)
 {
     const auto levels = sharedLevels(request.chain);
     if (!levels) {
         return;
     }
-    const std::uint32_t homes = std::min(knowledge.homes, MostHomeCandidates);
+    const std::uint32_t preferredCount = std::min(inputs.preferredCount, MostPreferredCandidates);
     // If the view has a holder of the prefix, a preferred engine without an entry has most likely
     // evicted it.
-    const auto &holders = knowledge.holders;
+    const auto &holders = inputs.holders;
     const bool hasHolder =
             !holders.empty() && holders.front().longest().tokens >= levels->shared.tokens;
     const std::vector<std::uint32_t> order =
-            rendezvousOrder(engines, levels->shared.hash, homes + SpillCandidates);
-    const std::size_t count = std::min<std::size_t>(homes, order.size());
+            rendezvousOrder(engines, levels->shared.hash, preferredCount + SpillCandidates);
+    const std::size_t count = std::min<std::size_t>(preferredCount, order.size());
     const auto scoreOf = [&](std::uint32_t engine) {
         const auto key = static_cast<std::uint64_t>(fleet.engines[engine].key);
         return mixBits(levels->deepest.hash.low ^ key);
@@ -199,7 +198,7 @@
 }
 
 void predictCosts(std::vector<Candidate> &candidates, const PlacementRequest &request,
-                  const Fleet &fleet, const PlacementKnowledge &knowledge, TimePoint now)
+                  const Fleet &fleet, const PlacementInputs &inputs, TimePoint now)
 {
     std::uint32_t most = 0;
     for (const Candidate &candidate : candidates) {
@@ -208,7 +207,7 @@
     Duration leastWait = Duration::max();
     for (Candidate &candidate : candidates) {
         const PredictedWait wait =
-                predictedWait(fleet.engines[candidate.engine], knowledge.inFlight, knowledge.slots,
+                predictedWait(fleet.engines[candidate.engine], inputs.inFlight, inputs.slots,
                               fleet.liveNodes, request.answerTokens, now);
         candidate.wait = wait.longest();
         candidate.slotWait = wait.slot;
@@ -219,7 +218,7 @@
     for (Candidate &candidate : candidates) {
         const EngineView &engine = fleet.engines[candidate.engine];
         const double rate = engine.load.prefillTokensPerSecond;
-        predictPrefill(candidate, request, knowledge.kept, rate);
+        predictPrefill(candidate, request, inputs.kept, rate);
         const Duration left = request.firstTokenDeadline - now - candidate.prefill;
         candidate.isLate = seconds(candidate.slotWait) > SlotWaitPart * seconds(left);
         const std::uint32_t here = candidate.expectedCachedTokens + candidate.importedTokens;
@@ -313,15 +312,15 @@
     return objective.recomputeWeight + seconds(leastWait) / BusySeconds;
 }
 
-Placement place(const PlacementRequest &request, const Fleet &fleet,
-                const PlacementKnowledge &knowledge, TimePoint now, Random &random)
+Placement place(const PlacementRequest &request, const Fleet &fleet, const PlacementInputs &inputs,
+                TimePoint now, Random &random)
 {
     Placement placement;
     const ModelEngines *engines = fleet.index ? fleet.index->serving(request.model) : nullptr;
     if (engines != nullptr) {
-        Candidates candidates(request, fleet, knowledge);
-        addHolders(fleet, knowledge, candidates);
-        addHomes(request, fleet, *engines, knowledge, candidates);
+        Candidates candidates(request, fleet, inputs);
+        addHolders(fleet, inputs, candidates);
+        addPreferred(request, fleet, *engines, inputs, candidates);
         addRandom(*engines, random, candidates);
         if (candidates.empty()) {
             addAll(*engines, candidates);
@@ -332,7 +331,7 @@
         placement.reason = "no_engine";
         return placement;
     }
-    predictCosts(placement.candidates, request, fleet, knowledge, now);
+    predictCosts(placement.candidates, request, fleet, inputs, now);
     selectWinner(placement, random);
     return placement;
 }
--- a/src/vanilladyke/policy/placement_policy.cpp
+++ b/src/vanilladyke/policy/placement_policy.cpp
@@ -25,16 +25,17 @@
                                   std::span<const PrefixHolder> holders, const KeptPrefix &kept,
                                   TimePoint now, Random &random)
 {
-    std::uint32_t homes = 1;
+    std::uint32_t preferredCount = 1;
     const auto levels = sharedLevels(request.chain);
     const ModelEngines *engines = fleet.index ? fleet.index->serving(request.model) : nullptr;
     if (levels && engines != nullptr) {
         const EngineView &any = fleet.engines[engines->members.front().engine];
-        homes = m_hot.note(levels->shared.hash, engineTime(request, levels->deepest.tokens, any),
-                           fleet.liveNodes, now);
+        preferredCount = m_hot.countRequest(levels->shared.hash,
+                                            engineTime(request, levels->deepest.tokens, any),
+                                            fleet.liveNodes, now);
     }
-    const PlacementKnowledge knowledge{holders, m_survival, m_inFlight, m_slots, homes, kept};
-    return place(request, fleet, knowledge, now, random);
+    const PlacementInputs inputs{holders, m_survival, m_inFlight, m_slots, preferredCount, kept};
+    return place(request, fleet, inputs, now, random);
 }
 
 Placement PlacementPolicy::forecast(const PlacementRequest &request, const Fleet &fleet,
@@ -42,9 +43,9 @@
                                     TimePoint now, Random &random) const
 {
     const auto levels = sharedLevels(request.chain);
-    const std::uint32_t homes = levels ? m_hot.homes(levels->shared.hash) : 1;
-    const PlacementKnowledge knowledge{holders, m_survival, m_inFlight, m_slots, homes, kept};
-    return place(request, fleet, knowledge, now, random);
+    const std::uint32_t preferredCount = levels ? m_hot.preferredCount(levels->shared.hash) : 1;
+    const PlacementInputs inputs{holders, m_survival, m_inFlight, m_slots, preferredCount, kept};
+    return place(request, fleet, inputs, now, random);
 }
 
 PlacedRequest PlacementPolicy::sent(const PlacementRequest &request, const Fleet &fleet,
