--- a/include/vanilladyke/policy/placement.hpp
+++ b/include/vanilladyke/policy/placement.hpp
@@ -121,6 +121,6 @@
 /// a prefix delays all queued requests. With a fixed weight, a saturated fleet would spread every
 /// prefix over all engines to balance their queues, prefill each prefix on every engine, and lose
 /// throughput as the load grows.
-[[nodiscard]] double priceOfRecomputing(const Objective &objective, Duration leastWait);
+[[nodiscard]] double effectiveRecomputeWeight(const Objective &objective, Duration leastWait);
 
 } // namespace vanilladyke
--- a/src/vanilladyke/experiment/ways.cpp
+++ b/src/vanilladyke/experiment/ways.cpp
@@ -150,7 +150,7 @@
                         .longest());
     }
     const double price =
-            priceOfRecomputing(m_objective, *std::min_element(waits.begin(), waits.end()));
+            effectiveRecomputeWeight(m_objective, *std::min_element(waits.begin(), waits.end()));
     std::size_t best = 0;
     double least = std::numeric_limits<double>::max();
     for (std::size_t i = 0; i < m_engines.size(); ++i) {
--- a/src/vanilladyke/policy/placement.cpp
+++ b/src/vanilladyke/policy/placement.cpp
@@ -214,7 +214,7 @@
         leastWait = std::min(leastWait, candidate.wait);
     }
     const Objective objective = fleet.bundle ? fleet.bundle->objective : Objective{};
-    const double recomputeWeight = priceOfRecomputing(objective, leastWait);
+    const double recomputeWeight = effectiveRecomputeWeight(objective, leastWait);
     for (Candidate &candidate : candidates) {
         const EngineView &engine = fleet.engines[candidate.engine];
         const double rate = engine.load.prefillTokensPerSecond;
@@ -307,7 +307,7 @@
     return wait;
 }
 
-double priceOfRecomputing(const Objective &objective, Duration leastWait)
+double effectiveRecomputeWeight(const Objective &objective, Duration leastWait)
 {
     return objective.recomputeWeight + seconds(leastWait) / BusySeconds;
 }
