--- a/include/vanilladyke/control/claim_controller.hpp
+++ b/include/vanilladyke/control/claim_controller.hpp
@@ -19,10 +19,10 @@
     void contribute(Fleet &fleet, TimePoint now);
 
 private:
-    void take(const ClaimAsked &asked, Moment at);
-    void take(const ClaimSettled &settled, Moment at);
-    void take(const ClaimsAppended &appended, Moment at);
-    void take(const ClaimsRead &read, Moment at);
+    void take(const ClaimAsked &asked, ClockReading at);
+    void take(const ClaimSettled &settled, ClockReading at);
+    void take(const ClaimsAppended &appended, ClockReading at);
+    void take(const ClaimsRead &read, ClockReading at);
     void deliver();
 
     ClaimLedger m_ledger;
--- a/include/vanilladyke/control/claim_io.hpp
+++ b/include/vanilladyke/control/claim_io.hpp
@@ -157,7 +157,7 @@
         const auto window = m_io.awaitWindow(stop);
         while (window && !stop.stop_requested()) {
             const WallTime notBefore =
-                    forgettableBefore(std::chrono::system_clock::now(), *window) - 2 * ClockSkew;
+                    droppableBefore(std::chrono::system_clock::now(), *window) - 2 * ClockSkew;
             const auto start = findStart(m_reads, notBefore, MonotonicClock::now() + ReadWithin);
             if (start) {
                 return *start;
--- a/include/vanilladyke/policy/claim_fold.hpp
+++ b/include/vanilladyke/policy/claim_fold.hpp
@@ -99,7 +99,7 @@
 
 /// @brief The time before which keys can be dropped: no node accepts them any more, even if its
 /// clock is slow.
-[[nodiscard]] WallTime forgettableBefore(WallTime now, Duration window);
+[[nodiscard]] WallTime droppableBefore(WallTime now, Duration window);
 
 /// @brief The time from which on keys are covered for a reader that starts at a record appended at
 /// @p appendedAt. Claims of later keys cannot precede that record, since keys dated in the future
--- a/include/vanilladyke/policy/claim_ledger.hpp
+++ b/include/vanilladyke/policy/claim_ledger.hpp
@@ -17,7 +17,7 @@
 namespace vanilladyke {
 
 /// @brief Readings of the monotonic and the wall clock, taken together.
-struct Moment
+struct ClockReading
 {
     TimePoint now;
     WallTime wall;
@@ -44,13 +44,13 @@
 [[nodiscard]] Ran ranOfUnsent(const ClaimRequest &request);
 
 /// @brief The call may be sent, once, if its deadline has not passed. settle() must follow.
-struct MaySend
+struct SendPermit
 {
     ClaimNonce nonce;
 };
 
 /// @brief Permission to send, the answer of an earlier call with the key, or a refusal.
-using ClaimVerdict = std::variant<MaySend, ClaimOutcome, Refusal>;
+using ClaimVerdict = std::variant<SendPermit, ClaimOutcome, Refusal>;
 
 /// @brief The verdict on a waiting call.
 struct ClaimDecision
@@ -99,7 +99,7 @@
     void configure(Duration window, std::uint32_t liveNodes);
 
     /// @brief Adds a call; its verdict is returned by takeDecisions().
-    void ask(const ClaimRequest &request, Moment at);
+    void submit(const ClaimRequest &request, ClockReading at);
     /// @brief Removes a waiting call, of which nothing was sent: the caller has disconnected or the
     /// node has stopped waiting.
     void abandon(ClaimTicket ticket);
@@ -107,17 +107,17 @@
     void settle(const ClaimRecord &record);
 
     /// @brief Returns the batch to append now; at most one append is in progress at a time.
-    [[nodiscard]] std::optional<ClaimBatch> nextBatch(Moment at);
+    [[nodiscard]] std::optional<ClaimBatch> nextBatch(ClockReading at);
     /// @brief When queued records may be appended; none if none are queued, the log has not been
     /// read yet or an append is in progress.
     [[nodiscard]] std::optional<TimePoint> nextAppendAt() const;
     /// @brief Records the result of the append.
     /// @param offset where the batch was written, if Done
-    void appended(AppendResult result, std::uint64_t offset, Moment at);
+    void appended(AppendResult result, std::uint64_t offset, ClockReading at);
     /// @brief Applies the result of a read.
-    void read(const ClaimPage &page, Moment at);
+    void read(const ClaimPage &page, ClockReading at);
     /// @brief Checks deadlines and drops old keys.
-    void tick(Moment at);
+    void tick(ClockReading at);
 
     /// @brief Returns the verdicts since the last call.
     [[nodiscard]] std::vector<ClaimDecision> takeDecisions();
@@ -127,7 +127,7 @@
     /// @brief Whether all outcomes are in the log and no permitted call is unsettled.
     [[nodiscard]] bool idle() const;
     /// @brief Whether a read is needed now: initial read, append in doubt, or calls waiting.
-    [[nodiscard]] bool wantsRead() const;
+    [[nodiscard]] bool needsRead() const;
     [[nodiscard]] std::uint64_t nextOffset() const { return m_fold.next(); }
     [[nodiscard]] const ClaimFold &fold() const { return m_fold; }
 
@@ -148,11 +148,11 @@
     void applyOwn(const ClaimRecord &record);
     void releaseIfUnused(const ClaimKey &key);
     void requeueUnread();
-    void decide(Moment at);
-    [[nodiscard]] Step verdictOn(Waiting &waiting, Moment at);
-    [[nodiscard]] Step onOwnClaim(const Waiting &waiting, Moment at);
-    [[nodiscard]] Step onOthersClaim(const Waiting &waiting, Moment at) const;
-    [[nodiscard]] Step onFreeKey(Waiting &waiting, Moment at, bool isExhausted);
+    void decide(ClockReading at);
+    [[nodiscard]] Step verdictOn(Waiting &waiting, ClockReading at);
+    [[nodiscard]] Step onOwnClaim(const Waiting &waiting, ClockReading at);
+    [[nodiscard]] Step onOthersClaim(const Waiting &waiting, ClockReading at) const;
+    [[nodiscard]] Step onFreeKey(Waiting &waiting, ClockReading at, bool isExhausted);
 
     ProcessId m_process;
     NodeId m_node;
--- a/src/vanilladyke/control/claim_controller.cpp
+++ b/src/vanilladyke/control/claim_controller.cpp
@@ -8,7 +8,7 @@
 
 std::string_view nameOf(const ClaimVerdict &verdict)
 {
-    if (std::holds_alternative<MaySend>(verdict)) {
+    if (std::holds_alternative<SendPermit>(verdict)) {
         return "send";
     }
     const auto *refusal = std::get_if<Refusal>(&verdict);
@@ -24,7 +24,7 @@
 
 void ClaimController::handle(const Event &event, TimePoint now)
 {
-    const Moment at{now, std::chrono::system_clock::now()};
+    const ClockReading at{now, std::chrono::system_clock::now()};
     if (const auto *claims = std::get_if<ClaimEvent>(&event)) {
         std::visit([&](const auto &each) { take(each, at); }, *claims);
     }
@@ -35,7 +35,7 @@
     } else if (const auto when = m_ledger.nextAppendAt()) {
         m_io.wakeAt(*when);
     }
-    m_io.tell({m_ledger.nextOffset(), m_ledger.wantsRead(), m_ledger.idle()});
+    m_io.tell({m_ledger.nextOffset(), m_ledger.needsRead(), m_ledger.idle()});
 }
 
 void ClaimController::contribute(Fleet &fleet, TimePoint /*now*/)
@@ -46,23 +46,23 @@
     }
 }
 
-void ClaimController::take(const ClaimAsked &asked, Moment at)
+void ClaimController::take(const ClaimAsked &asked, ClockReading at)
 {
     m_asked.emplace(asked.request.ticket, asked);
-    m_ledger.ask(asked.request, at);
+    m_ledger.submit(asked.request, at);
 }
 
-void ClaimController::take(const ClaimSettled &settled, Moment /*at*/)
+void ClaimController::take(const ClaimSettled &settled, ClockReading /*at*/)
 {
     m_ledger.settle(settled.record);
 }
 
-void ClaimController::take(const ClaimsAppended &appended, Moment at)
+void ClaimController::take(const ClaimsAppended &appended, ClockReading at)
 {
     m_ledger.appended(appended.result, appended.offset, at);
 }
 
-void ClaimController::take(const ClaimsRead &read, Moment at)
+void ClaimController::take(const ClaimsRead &read, ClockReading at)
 {
     m_ledger.read(read.page, at);
     m_io.pageTaken();
@@ -80,7 +80,7 @@
                 .field("customer", key.customer.str())
                 .field("service", key.service.str())
                 .field("verdict", nameOf(decision.verdict));
-        const auto *permit = std::get_if<MaySend>(&decision.verdict);
+        const auto *permit = std::get_if<SendPermit>(&decision.verdict);
         const ClaimNonce nonce = permit == nullptr ? ClaimNonce() : permit->nonce;
         const bool waited = asked->second.wait->deliver(std::move(decision.verdict));
         if (!waited && nonce.sequence != 0) {
--- a/src/vanilladyke/control/claim_desk.cpp
+++ b/src/vanilladyke/control/claim_desk.cpp
@@ -59,7 +59,7 @@
                        ranOfUnsent(request),
                        {}};
     }
-    if (const auto *permit = std::get_if<MaySend>(&*verdict)) {
+    if (const auto *permit = std::get_if<SendPermit>(&*verdict)) {
         return ClaimPermit(m_inbox, request.key, permit->nonce);
     }
     if (auto *outcome = std::get_if<ClaimOutcome>(&*verdict)) {
--- a/src/vanilladyke/policy/claim_fold.cpp
+++ b/src/vanilladyke/policy/claim_fold.cpp
@@ -112,7 +112,7 @@
     return key.time() < now - window ? KeyAge::Expired : KeyAge::Valid;
 }
 
-WallTime forgettableBefore(WallTime now, Duration window)
+WallTime droppableBefore(WallTime now, Duration window)
 {
     return now - window - 2 * ClockSkew;
 }
--- a/src/vanilladyke/policy/claim_fold_test.cpp
+++ b/src/vanilladyke/policy/claim_fold_test.cpp
@@ -94,7 +94,7 @@
     const ClaimKey old = keyAt(Start);
     const ClaimKey young = keyAt(Start + minutes(9), 2);
     ClaimFold fold = folded({claimBy("a", old), claimBy("a", young)});
-    fold.dropBefore(forgettableBefore(Start + minutes(11), minutes(10)));
+    fold.dropBefore(droppableBefore(Start + minutes(11), minutes(10)));
     EXPECT_EQ(fold.size(), 1U);
     EXPECT_FALSE(fold.covers(old.key));
     EXPECT_TRUE(fold.covers(young.key));
@@ -106,7 +106,7 @@
     for (int second = 0; second < 700; ++second) {
         const WallTime slow = Start + seconds(second);
         const WallTime fast = slow + 2 * ClockSkew;
-        const bool isDropped = key.key.time() < forgettableBefore(fast, minutes(10));
+        const bool isDropped = key.key.time() < droppableBefore(fast, minutes(10));
         EXPECT_FALSE(isDropped && checkAge(key.key, slow, minutes(10)) == KeyAge::Valid);
     }
 }
--- a/src/vanilladyke/policy/claim_ledger.cpp
+++ b/src/vanilladyke/policy/claim_ledger.cpp
@@ -71,7 +71,7 @@
     m_pacer.share(liveNodes);
 }
 
-void ClaimLedger::ask(const ClaimRequest &request, Moment at)
+void ClaimLedger::submit(const ClaimRequest &request, ClockReading at)
 {
     const TimePoint claimBy = std::min(request.deadline, at.now + ClaimTimeout);
     Waiting waiting{request, {}, at.now, claimBy, false};
@@ -127,7 +127,7 @@
             Claim{waiting.request.key, waiting.nonce, m_node, waiting.request.request});
 }
 
-std::optional<ClaimBatch> ClaimLedger::nextBatch(Moment at)
+std::optional<ClaimBatch> ClaimLedger::nextBatch(ClockReading at)
 {
     if (m_batchState != BatchState::None || !ready() || m_queue.empty()) {
         return std::nullopt;
@@ -163,7 +163,7 @@
     return m_pacer.readyAt();
 }
 
-void ClaimLedger::appended(AppendResult result, std::uint64_t offset, Moment at)
+void ClaimLedger::appended(AppendResult result, std::uint64_t offset, ClockReading at)
 {
     if (m_batchState != BatchState::InProgress) {
         return;
@@ -205,7 +205,7 @@
     m_batch.clear();
 }
 
-void ClaimLedger::read(const ClaimPage &page, Moment at)
+void ClaimLedger::read(const ClaimPage &page, ClockReading at)
 {
     const std::uint64_t start =
             page.records.empty() ? page.firstOffset : page.records.front().offset;
@@ -283,13 +283,13 @@
     }
 }
 
-void ClaimLedger::tick(Moment at)
+void ClaimLedger::tick(ClockReading at)
 {
     decide(at);
-    m_fold.dropBefore(forgettableBefore(at.wall, m_window));
+    m_fold.dropBefore(droppableBefore(at.wall, m_window));
 }
 
-void ClaimLedger::decide(Moment at)
+void ClaimLedger::decide(ClockReading at)
 {
     std::vector<ClaimKey> decidedKeys;
     for (auto each = m_waiting.begin(); each != m_waiting.end();) {
@@ -307,7 +307,7 @@
     }
 }
 
-ClaimLedger::Step ClaimLedger::verdictOn(Waiting &waiting, Moment at)
+ClaimLedger::Step ClaimLedger::verdictOn(Waiting &waiting, ClockReading at)
 {
     const ClaimEntry *entry = m_fold.find(waiting.request.key);
     if (entry == nullptr) {
@@ -328,7 +328,7 @@
     return entry->owner == waiting.nonce ? onOwnClaim(waiting, at) : onOthersClaim(waiting, at);
 }
 
-ClaimLedger::Step ClaimLedger::onOwnClaim(const Waiting &waiting, Moment at)
+ClaimLedger::Step ClaimLedger::onOwnClaim(const Waiting &waiting, ClockReading at)
 {
     if (at.now >= waiting.request.deadline) {
         return Refusal{RefusalReason::TooLate,
@@ -340,10 +340,10 @@
         return refusalByAge(KeyAge::Expired);
     }
     m_permitted.insert(waiting.nonce);
-    return MaySend{waiting.nonce};
+    return SendPermit{waiting.nonce};
 }
 
-ClaimLedger::Step ClaimLedger::onOthersClaim(const Waiting &waiting, Moment at) const
+ClaimLedger::Step ClaimLedger::onOthersClaim(const Waiting &waiting, ClockReading at) const
 {
     const auto local = m_unreadOutcomes.find(m_fold.find(waiting.request.key)->owner);
     if (local != m_unreadOutcomes.end()) {
@@ -358,7 +358,7 @@
                    {}};
 }
 
-ClaimLedger::Step ClaimLedger::onFreeKey(Waiting &waiting, Moment at, bool isExhausted)
+ClaimLedger::Step ClaimLedger::onFreeKey(Waiting &waiting, ClockReading at, bool isExhausted)
 {
     if (isExhausted) {
         return Refusal{RefusalReason::KeyExpired,
@@ -388,7 +388,7 @@
     return m_permitted.empty() && m_batchState == BatchState::None && !settledWaits;
 }
 
-bool ClaimLedger::wantsRead() const
+bool ClaimLedger::needsRead() const
 {
     return !ready() || m_batchState == BatchState::InDoubt || !m_waiting.empty();
 }
--- a/src/vanilladyke/policy/claim_ledger_test.cpp
+++ b/src/vanilladyke/policy/claim_ledger_test.cpp
@@ -71,7 +71,7 @@
         Node &node = *chosen;
         switch (uniformBelow(m_random, 8)) {
         case 0:
-            ask(node);
+            submit(node);
             break;
         case 1:
         case 2:
@@ -153,7 +153,7 @@
     }
 
 private:
-    [[nodiscard]] Moment at() const
+    [[nodiscard]] ClockReading at() const
     {
         return {TimePoint(seconds(1000)) + m_elapsed, WallStart + m_elapsed};
     }
@@ -163,7 +163,7 @@
         return std::make_unique<Node>("p" + std::to_string(++m_processes));
     }
 
-    void ask(Node &node)
+    void submit(Node &node)
     {
         ClaimRequest request;
         request.ticket = ClaimTicket{++m_tickets};
@@ -173,7 +173,7 @@
         request.repeat = uniformBelow(m_random, 2) == 0;
         m_submitted[request.ticket] = {request, std::nullopt};
         m_submittedTo[request.ticket] = &node;
-        node.ledger.ask(request, at());
+        node.ledger.submit(request, at());
     }
 
     void append(Node &node, std::optional<std::uint64_t> fate = std::nullopt)
@@ -277,7 +277,7 @@
         for (auto &node : m_nodes) {
             for (ClaimDecision &decision : node->ledger.takeDecisions()) {
                 SubmittedCall &call = m_submitted.at(decision.ticket);
-                if (const auto *permit = std::get_if<MaySend>(&decision.verdict)) {
+                if (const auto *permit = std::get_if<SendPermit>(&decision.verdict)) {
                     node->permits.emplace_back(call.request.key, permit->nonce);
                 }
                 call.verdict = std::move(decision.verdict);
@@ -363,7 +363,7 @@
         return decisions.at(0).verdict;
     }
 
-    Moment m_at{TimePoint(seconds(1000)), WallStart};
+    ClockReading m_at{TimePoint(seconds(1000)), WallStart};
     Random m_random{7};
     ClaimKey m_key{CustomerId("brand"), ServiceId("booking"), newUuidV7(WallStart, m_random)};
     ClaimLedger m_ledger{ProcessId("p"), NodeId("n")};
@@ -374,7 +374,7 @@
     for (std::uint64_t i = 1; i <= 5; ++i) {
         ClaimRequest each = request(i);
         each.key.key = newUuidV7(WallStart, m_random);
-        m_ledger.ask(each, m_at);
+        m_ledger.submit(each, m_at);
     }
     const auto batch = m_ledger.nextBatch(m_at);
     ASSERT_TRUE(batch.has_value());
@@ -387,13 +387,13 @@
 // the node must read the log before it appends anything again.
 TEST_F(OneNode, ALostAnswerIsResolvedByReadingTheLog)
 {
-    m_ledger.ask(request(1), m_at);
+    m_ledger.submit(request(1), m_at);
     const ClaimBatch batch = m_ledger.nextBatch(m_at).value();
     m_ledger.appended(AppendResult::InDoubt, 0, m_at);
     advance(seconds(1));
     EXPECT_FALSE(m_ledger.nextBatch(m_at).has_value());
     m_ledger.read({m_at.now, 0, 1, {{0, m_at.wall, batch}}}, m_at);
-    EXPECT_TRUE(std::holds_alternative<MaySend>(onlyVerdict()));
+    EXPECT_TRUE(std::holds_alternative<SendPermit>(onlyVerdict()));
     EXPECT_FALSE(m_ledger.nextBatch(m_at).has_value());
 }
 
@@ -401,7 +401,7 @@
 // in the log later, the key must be released and the call never sent.
 TEST_F(OneNode, ARefusedClaimIsNeverSentAndReleasesTheKeyOnceItIsRead)
 {
-    m_ledger.ask(request(1), m_at);
+    m_ledger.submit(request(1), m_at);
     const ClaimBatch batch = m_ledger.nextBatch(m_at).value();
     m_ledger.appended(AppendResult::InDoubt, 0, m_at);
     advance(ClaimTimeout);
@@ -421,7 +421,7 @@
 // call under a new key.
 TEST_F(OneNode, ARepeatIsRefusedAsUnknownWhileTheLogIsDown)
 {
-    m_ledger.ask(request(1, true), m_at);
+    m_ledger.submit(request(1, true), m_at);
     advance(ClaimTimeout);
     m_ledger.tick(m_at);
     EXPECT_EQ(std::get<Refusal>(onlyVerdict()).ran, Ran::Unknown);
@@ -429,11 +429,11 @@
 
 TEST_F(OneNode, ARepeatGetsTheAnswerBeforeItsRecordIsInTheLog)
 {
-    m_ledger.ask(request(1), m_at);
+    m_ledger.submit(request(1), m_at);
     static_cast<void>(m_ledger.nextBatch(m_at));
     m_ledger.appended(AppendResult::Done, 0, m_at);
-    const auto permit = std::get<MaySend>(onlyVerdict());
-    m_ledger.ask(request(2), m_at);
+    const auto permit = std::get<SendPermit>(onlyVerdict());
+    m_ledger.submit(request(2), m_at);
     EXPECT_TRUE(m_ledger.takeDecisions().empty());
     m_ledger.settle(ClaimOutcome{m_key, permit.nonce, OutcomeKind::Answered, 201, "", "booked"});
     m_ledger.tick(m_at);
@@ -443,7 +443,7 @@
 
 TEST_F(OneNode, AClaimSeenAfterItsDeadlineIsNotSent)
 {
-    m_ledger.ask(request(1), m_at);
+    m_ledger.submit(request(1), m_at);
     static_cast<void>(m_ledger.nextBatch(m_at));
     advance(seconds(20)); // the process was paused
     m_ledger.appended(AppendResult::Done, 0, m_at);
@@ -452,13 +452,13 @@
 
 TEST_F(OneNode, TheSameKeyWithAnotherBodyIsRefused)
 {
-    m_ledger.ask(request(1), m_at);
+    m_ledger.submit(request(1), m_at);
     static_cast<void>(m_ledger.nextBatch(m_at));
     m_ledger.appended(AppendResult::Done, 0, m_at);
     static_cast<void>(onlyVerdict());
     ClaimRequest other = request(2, true);
     other.request = RequestDigest("other");
-    m_ledger.ask(other, m_at);
+    m_ledger.submit(other, m_at);
     const auto refusal = std::get<Refusal>(onlyVerdict());
     EXPECT_EQ(refusal.reason, RefusalReason::KeyReused);
     EXPECT_EQ(refusal.ran, Ran::No);
@@ -469,7 +469,7 @@
 TEST_F(OneNode, AnExpiredKeyIsNeitherSentNorCalledNotRun)
 {
     advance(Window + seconds(1));
-    m_ledger.ask(request(1), m_at);
+    m_ledger.submit(request(1), m_at);
     const auto refusal = std::get<Refusal>(onlyVerdict());
     EXPECT_EQ(refusal.reason, RefusalReason::KeyExpired);
     EXPECT_EQ(refusal.ran, Ran::Unknown);
@@ -481,7 +481,7 @@
 {
     const TimePoint before = m_at.now;
     advance(milliseconds(5));
-    m_ledger.ask(request(1), m_at);
+    m_ledger.submit(request(1), m_at);
     static_cast<void>(m_ledger.nextBatch(m_at));
     m_ledger.appended(AppendResult::Done, 0, m_at);
     m_ledger.read({before, 0, 0, {}}, m_at);
@@ -493,10 +493,10 @@
 // refuse the record together with all others of its append.
 TEST_F(OneNode, AnOutcomeThatReadersWouldRefuseIsNotAppended)
 {
-    m_ledger.ask(request(1), m_at);
+    m_ledger.submit(request(1), m_at);
     static_cast<void>(m_ledger.nextBatch(m_at));
     m_ledger.appended(AppendResult::Done, 0, m_at);
-    const auto permit = std::get<MaySend>(onlyVerdict());
+    const auto permit = std::get<SendPermit>(onlyVerdict());
     m_ledger.settle(ClaimOutcome{m_key, permit.nonce, OutcomeKind::Answered, 200,
                                  std::string(1024, 'x'), ""});
     advance(seconds(1));
@@ -509,7 +509,7 @@
 {
     ClaimRequest each = request(1);
     each.key.customer = CustomerId(std::string(MostNameBytes + 1, 'x'));
-    m_ledger.ask(each, m_at);
+    m_ledger.submit(each, m_at);
     EXPECT_EQ(std::get<Refusal>(onlyVerdict()).reason, RefusalReason::BadRequest);
     EXPECT_FALSE(m_ledger.nextBatch(m_at).has_value());
 }
