--- a/include/vanilladyke/policy/append_pacer.hpp
+++ b/include/vanilladyke/policy/append_pacer.hpp
@@ -27,9 +27,9 @@
 {
 public:
     /// @brief Divides the budget by the number of live nodes.
-    void share(std::uint32_t liveNodes);
+    void setLiveNodes(std::uint32_t liveNodes);
     /// @brief Takes a token for one append. @return false if none is available yet
-    [[nodiscard]] bool take(TimePoint now);
+    [[nodiscard]] bool tryTake(TimePoint now);
     /// @brief When take() will succeed, unless an append fails before.
     [[nodiscard]] TimePoint readyAt() const;
     void succeeded() { m_pause = Duration::zero(); }
--- a/src/vanilladyke/policy/append_pacer.cpp
+++ b/src/vanilladyke/policy/append_pacer.cpp
@@ -4,12 +4,12 @@
 
 namespace vanilladyke {
 
-void AppendPacer::share(std::uint32_t liveNodes)
+void AppendPacer::setLiveNodes(std::uint32_t liveNodes)
 {
     m_perSecond = AppendsPerSecond / std::max<std::uint32_t>(liveNodes, 1);
 }
 
-bool AppendPacer::take(TimePoint now)
+bool AppendPacer::tryTake(TimePoint now)
 {
     const std::chrono::duration<double> since = now - m_filledAt;
     m_tokens = std::min(AppendBurst, m_tokens + std::max(0.0, since.count()) * m_perSecond);
--- a/src/vanilladyke/policy/claim_ledger.cpp
+++ b/src/vanilladyke/policy/claim_ledger.cpp
@@ -68,7 +68,7 @@
 void ClaimLedger::configure(Duration window, std::uint32_t liveNodes)
 {
     m_window = window;
-    m_pacer.share(liveNodes);
+    m_pacer.setLiveNodes(liveNodes);
 }
 
 void ClaimLedger::submit(const ClaimRequest &request, ClockReading at)
@@ -140,7 +140,7 @@
     std::erase_if(m_queue, [&](const ClaimRecord &record) {
         return !isSettled(record) && !waitingClaims.contains(nonceOf(record));
     });
-    if (m_queue.empty() || !m_pacer.take(at.now)) {
+    if (m_queue.empty() || !m_pacer.tryTake(at.now)) {
         return std::nullopt;
     }
     std::size_t bytes = 0;
--- a/src/vanilladyke/policy/claim_ledger_test.cpp
+++ b/src/vanilladyke/policy/claim_ledger_test.cpp
@@ -517,23 +517,23 @@
 TEST(AppendPacer, ASingleAppendNeverWaitsAndABurstIsLimitedToTheShare)
 {
     AppendPacer pacer;
-    pacer.share(3);
+    pacer.setLiveNodes(3);
     TimePoint now(seconds(1000));
     int taken = 0;
     for (int i = 0; i < 10'000; ++i) {
-        taken += pacer.take(now) ? 1 : 0;
+        taken += pacer.tryTake(now) ? 1 : 0;
         now += milliseconds(1);
     }
     EXPECT_NEAR(taken, 10 * AppendsPerSecond / 3, AppendBurst + 1);
-    while (pacer.take(now)) {
+    while (pacer.tryTake(now)) {
     }
     const TimePoint ready = pacer.readyAt();
     EXPECT_GT(ready, now);
-    EXPECT_FALSE(pacer.take(ready - milliseconds(2)));
-    EXPECT_TRUE(pacer.take(ready));
-    EXPECT_TRUE(pacer.take(now + seconds(1)));
+    EXPECT_FALSE(pacer.tryTake(ready - milliseconds(2)));
+    EXPECT_TRUE(pacer.tryTake(ready));
+    EXPECT_TRUE(pacer.tryTake(now + seconds(1)));
     pacer.failed(now + seconds(1));
-    EXPECT_FALSE(pacer.take(now + seconds(1)));
+    EXPECT_FALSE(pacer.tryTake(now + seconds(1)));
 }
 
 } // namespace
