--- a/include/vanilladyke/policy/request_story.hpp
+++ b/include/vanilladyke/policy/request_timeline.hpp
@@ -30,7 +30,7 @@
 [[nodiscard]] std::optional<LogLine> parseLogLine(std::string_view line);
 
 /// @brief A request's log lines, related lines, and an explanation of its outcome.
-struct RequestStory
+struct RequestTimeline
 {
     std::vector<LogLine> own;     ///< lines with the request's id, oldest first
     std::vector<LogLine> context; ///< related lines of the same nodes and servers, oldest first
@@ -39,6 +39,7 @@
 
 /// @brief Selects the lines of request @p id and the related ones.
 /// @return a timeline without lines if no line has the request's id
-[[nodiscard]] RequestStory tellStory(const std::vector<LogLine> &lines, const std::string &id);
+[[nodiscard]] RequestTimeline buildTimeline(const std::vector<LogLine> &lines,
+                                            const std::string &id);
 
 } // namespace vanilladyke
--- a/src/vanilladyke/app/explain_command.cpp
+++ b/src/vanilladyke/app/explain_command.cpp
@@ -5,7 +5,7 @@
 #include "vanilladyke/gateway/filters.hpp"
 #include "vanilladyke/model/json_reader.hpp"
 #include "vanilladyke/policy/explain.hpp"
-#include "vanilladyke/policy/request_story.hpp"
+#include "vanilladyke/policy/request_timeline.hpp"
 #include "vanilladyke/policy/state_dump.hpp"
 
 #include <iostream>
@@ -134,7 +134,7 @@
             }
         }
     }
-    const RequestStory story = tellStory(lines, id);
+    const RequestTimeline story = buildTimeline(lines, id);
     if (asJson) {
         const nlohmann::json out{{"id", id},
                                  {"before", toJson(story.context)},
--- a/src/vanilladyke/policy/request_story.cpp
+++ b/src/vanilladyke/policy/request_timeline.cpp
@@ -1,4 +1,4 @@
-#include "vanilladyke/policy/request_story.hpp"
+#include "vanilladyke/policy/request_timeline.hpp"
 
 #include <algorithm>
 #include <array>
@@ -121,27 +121,27 @@
     return result;
 }
 
-RequestStory tellStory(const std::vector<LogLine> &lines, const std::string &id)
+RequestTimeline buildTimeline(const std::vector<LogLine> &lines, const std::string &id)
 {
-    RequestStory story;
+    RequestTimeline timeline;
     std::set<std::string> nodes;
     std::set<std::string> backends;
     for (const LogLine &line : lines) {
         if (fieldOf(line, "id") == id) {
-            story.own.push_back(line);
+            timeline.own.push_back(line);
             nodes.insert(line.node);
             backends.insert(fieldOf(line, "backend"));
         }
     }
     const auto byTime = [](const LogLine &a, const LogLine &b) { return a.time < b.time; };
-    std::stable_sort(story.own.begin(), story.own.end(), byTime);
-    if (story.own.empty()) {
-        story.verdict = "No line has this request's id: it reached none of the nodes whose logs "
-                        "were given.";
-        return story;
+    std::stable_sort(timeline.own.begin(), timeline.own.end(), byTime);
+    if (timeline.own.empty()) {
+        timeline.verdict = "No line has this request's id: it reached none of the nodes whose logs "
+                           "were given.";
+        return timeline;
     }
-    const WallTime first = story.own.front().time;
-    const WallTime last = story.own.back().time;
+    const WallTime first = timeline.own.front().time;
+    const WallTime last = timeline.own.back().time;
     for (const LogLine &line : lines) {
         if (line.time > last || fieldOf(line, "id") == id) {
             continue;
@@ -152,23 +152,23 @@
                                  && backends.contains(fieldOf(line, "backend"))
                                  && line.time >= first - BackendContext;
         if (isOfNode || (isOfBackend && !fieldOf(line, "backend").empty())) {
-            story.context.push_back(line);
+            timeline.context.push_back(line);
         }
     }
-    std::stable_sort(story.context.begin(), story.context.end(), byTime);
-    const std::string outcome = fieldOf(story.own.back(), "outcome");
+    std::stable_sort(timeline.context.begin(), timeline.context.end(), byTime);
+    const std::string outcome = fieldOf(timeline.own.back(), "outcome");
     const auto explanation =
             std::find_if(OutcomeTexts.begin(), OutcomeTexts.end(),
                          [&](const OutcomeText &each) { return outcome == each.outcome; });
     if (explanation != OutcomeTexts.end()) {
-        story.verdict = explanation->text;
+        timeline.verdict = explanation->text;
     } else if (outcome.empty()) {
-        story.verdict =
+        timeline.verdict =
                 "The request's last line is missing: the node ended or its log is incomplete.";
     } else {
-        story.verdict = "Refused: " + outcome + ".";
+        timeline.verdict = "Refused: " + outcome + ".";
     }
-    return story;
+    return timeline;
 }
 
 } // namespace vanilladyke
--- a/src/vanilladyke/policy/request_story_test.cpp
+++ b/src/vanilladyke/policy/request_timeline_test.cpp
@@ -1,4 +1,4 @@
-#include "vanilladyke/policy/request_story.hpp"
+#include "vanilladyke/policy/request_timeline.hpp"
 
 #include <gtest/gtest.h>
 
@@ -13,7 +13,7 @@
     return line.value_or(LogLine());
 }
 
-TEST(RequestStory, ParsesALogLine)
+TEST(RequestTimeline, ParsesALogLine)
 {
     const LogLine line =
             at("06.039", "node=n1 event=request id=a1 reason=\"no such \\\"x\\\"\" ms=3.5");
@@ -28,7 +28,7 @@
 
 // Guards against a timeline without the cause of a refusal, which is in lines without the request's
 // id, and against unrelated lines in it.
-TEST(RequestStory, ListsRelatedLinesOfTheNodeAndNoOthers)
+TEST(RequestTimeline, ListsRelatedLinesOfTheNodeAndNoOthers)
 {
     const std::vector<LogLine> lines{
             at("07.000", "node=n1 event=request id=a1 backend=none outcome=not_ready"),
@@ -37,15 +37,15 @@
             at("06.500", "node=n1 event=request id=other outcome=not_ready"),
             at("09.000", "node=n1 event=store_regained"),
     };
-    const RequestStory story = tellStory(lines, "a1");
-    ASSERT_EQ(story.own.size(), 1U);
-    ASSERT_EQ(story.context.size(), 1U);
-    EXPECT_EQ(story.context[0].event, "store_lost");
-    EXPECT_EQ(story.context[0].node, "n1");
-    EXPECT_NE(story.verdict.find("proof_age_ms"), std::string::npos);
+    const RequestTimeline timeline = buildTimeline(lines, "a1");
+    ASSERT_EQ(timeline.own.size(), 1U);
+    ASSERT_EQ(timeline.context.size(), 1U);
+    EXPECT_EQ(timeline.context[0].event, "store_lost");
+    EXPECT_EQ(timeline.context[0].node, "n1");
+    EXPECT_NE(timeline.verdict.find("proof_age_ms"), std::string::npos);
 }
 
-TEST(RequestStory, ListsRelatedLinesOfTheServersThatWereTried)
+TEST(RequestTimeline, ListsRelatedLinesOfTheServersThatWereTried)
 {
     const std::vector<LogLine> lines{
             at("05.200", "node=n1 event=request id=a1 backend=e2 outcome=outcome_unknown"),
@@ -54,19 +54,19 @@
             at("04.500", "node=n9 event=weights_order backend=e3 version=2"),
             at("04.600", "node=n1 event=try_failed id=b2 backend=e1 end=lost"),
     };
-    const RequestStory story = tellStory(lines, "a1");
-    ASSERT_EQ(story.own.size(), 2U);
-    EXPECT_EQ(story.own[0].event, "try_failed") << "ordered by time";
-    ASSERT_EQ(story.context.size(), 1U);
-    EXPECT_EQ(story.context[0].fields.at("backend"), "e1");
-    EXPECT_NE(story.verdict.find("nobody knows"), std::string::npos);
+    const RequestTimeline timeline = buildTimeline(lines, "a1");
+    ASSERT_EQ(timeline.own.size(), 2U);
+    EXPECT_EQ(timeline.own[0].event, "try_failed") << "ordered by time";
+    ASSERT_EQ(timeline.context.size(), 1U);
+    EXPECT_EQ(timeline.context[0].fields.at("backend"), "e1");
+    EXPECT_NE(timeline.verdict.find("nobody knows"), std::string::npos);
 }
 
-TEST(RequestStory, ReportsMissingLines)
+TEST(RequestTimeline, ReportsMissingLines)
 {
-    EXPECT_TRUE(tellStory({}, "a1").own.empty());
+    EXPECT_TRUE(buildTimeline({}, "a1").own.empty());
     const std::vector<LogLine> cut{at("05.100", "node=n1 event=try_failed id=a1 backend=e1")};
-    EXPECT_NE(tellStory(cut, "a1").verdict.find("missing"), std::string::npos);
+    EXPECT_NE(buildTimeline(cut, "a1").verdict.find("missing"), std::string::npos);
 }
 
 } // namespace
