--- a/include/vanilladyke/policy/placement.hpp
+++ b/include/vanilladyke/policy/placement.hpp
@@ -76,12 +76,12 @@
 struct Candidate
 {
     std::size_t engine = 0; ///< index into Fleet::engines
-    std::vector<PrefixEstimate>
-            estimates; ///< longest first; each covers the tokens beyond the next one
+    /// Longest first; each covers the tokens beyond the next one.
+    std::vector<PrefixEstimate> estimates;
     std::uint32_t expectedCachedTokens = 0;
     std::uint32_t importedTokens = 0; ///< to import from the kept-cache store; 0 for none
     Duration wait{};                  ///< until the prefill can start
-    Duration slotWait{};              ///< part of wait: until a slot is free
+    Duration slotWait{};              ///< until a slot is free; at most wait
     bool isLate = false;              ///< a slot is unlikely to be free before the deadline
     Duration prefill{};               ///< of the missing tokens, including any import
     double recomputedTokens = 0;      ///< tokens to prefill that another candidate has cached
--- a/include/vanilladyke/policy/survival.hpp
+++ b/include/vanilladyke/policy/survival.hpp
@@ -19,7 +19,7 @@
     Known,           ///< the cache view has an entry
     Untrusted,       ///< the view has an entry, but updates of the engine have been lost since
     Preferred,       ///< no entry, but the preferred engine of the prefix for all nodes
-    PreferredShared, ///< as Home, but only for the level that many prefixes share
+    PreferredShared, ///< as Preferred, but only for the level that many prefixes share
     PreferredCold,   ///< a preferred engine without an entry, while other engines have one
 };
 
@@ -30,7 +30,7 @@
     /// @brief Returns the expected cached fraction, in [0, 1].
     [[nodiscard]] double fraction(Evidence evidence, Duration age) const;
     /// @brief Records one answer.
-    /// @param believed tokens assumed cached by the evidence
+    /// @param assumed tokens assumed cached by the evidence
     /// @param cached tokens of them that were cached
     void learn(Evidence evidence, Duration age, std::uint32_t assumed, std::uint32_t cached);
 
--- a/src/vanilladyke/policy/placement.cpp
+++ b/src/vanilladyke/policy/placement.cpp
@@ -105,8 +105,8 @@
     return estimates;
 }
 
-/// Ignores entries of another incarnation, even if the view has not received the new one yet: the
-/// restarted engine has lost its cache.
+/// Adds the holders of the longest prefixes. Ignores entries of another incarnation, even if the
+/// view has not received the new one yet: the restarted engine has lost its cache.
 void addHolders(const Fleet &fleet, const PlacementInputs &inputs, Candidates &candidates)
 {
     std::size_t added = 0;
