--- a/include/vanilladyke/policy/claim_ledger.hpp
+++ b/include/vanilladyke/policy/claim_ledger.hpp
@@ -136,7 +136,7 @@
     {
         ClaimRequest request;
         ClaimNonce nonce;
-        TimePoint askedAt;
+        TimePoint submittedAt;
         TimePoint claimBy;
         bool isRead = false; ///< its claim has been read from the log
     };
--- a/include/vanilladyke/policy/hot_prefixes.hpp
+++ b/include/vanilladyke/policy/hot_prefixes.hpp
@@ -40,7 +40,7 @@
         TimePoint changedAt;
     };
 
-    void makeRoom(TimePoint now);
+    void evictLeastUsed(TimePoint now);
 
     std::unordered_map<ChainHash, Tracked> m_tracked;
 };
--- a/src/vanilladyke/policy/hot_prefixes.cpp
+++ b/src/vanilladyke/policy/hot_prefixes.cpp
@@ -28,7 +28,7 @@
                                         std::uint32_t nodes, TimePoint now)
 {
     if (m_tracked.size() >= MostTracked && !m_tracked.contains(prefix)) {
-        makeRoom(now);
+        evictLeastUsed(now);
     }
     Tracked &tracked = m_tracked.try_emplace(prefix, Tracked{0, 1, now}).first->second;
     tracked.work = faded(tracked.work, now - tracked.changedAt) + secondsOf(engineTime);
@@ -49,7 +49,7 @@
 }
 
 /// Evicts the less used half in one pass, so that the amortized cost per request stays small.
-void HotPrefixes::makeRoom(TimePoint now)
+void HotPrefixes::evictLeastUsed(TimePoint now)
 {
     std::vector<double> work;
     work.reserve(m_tracked.size());
