--- a/src/vanilladyke/policy/cache_view_test.cpp
+++ b/src/vanilladyke/policy/cache_view_test.cpp
@@ -52,7 +52,7 @@
     EXPECT_EQ(holders[1].longest().tokens, 1024U);
 }
 
-TEST(CacheView, TellsHowMuchFresherTheNewsOfTheBeginningIs)
+TEST(CacheView, ReportsShorterPrefixesWithNewerUpdates)
 {
     CacheView view(1U << 16U);
     view.setIncarnation(One, First, at(0));
@@ -70,8 +70,8 @@
     EXPECT_EQ(holders[0].lengths[1].age, seconds(2));
 }
 
-// An engine crashes and comes back empty under a new incarnation. Were its old entries kept, its
-// callers would wait for whole prompts to be computed by an engine chosen for its warm cache.
+// Guards against routing to a restarted engine for entries of its previous incarnation: its cache
+// is empty, so it would prefill whole prompts.
 TEST(CacheView, ANewIncarnationHoldsNothingOfTheOldOne)
 {
     CacheView view(1U << 16U);
@@ -83,20 +83,20 @@
     EXPECT_TRUE(view.holders(chainOf(1, 1), at(3)).empty());
 }
 
-// The stream of an engine's cache events loses some, perhaps an eviction. What was known before is
-// used with less faith until it is seen again; a caller notices no more than a slower first token.
-TEST(CacheView, EntriesFromBeforeAGapAreDoubted)
+// Guards against relying on entries after a gap in the engine's cache events, which may have hidden
+// an eviction: they are not trusted until the engine reports them again.
+TEST(CacheView, EntriesFromBeforeAGapAreNotTrusted)
 {
     CacheView view(1U << 16U);
     view.setIncarnation(One, First, at(0));
     view.stored(One, First, hashOf(1), at(1));
-    view.distrust(One, at(2));
+    view.markUntrusted(One, at(2));
     EXPECT_FALSE(view.holders(chainOf(1, 1), at(3)).at(0).longest().trusted);
     view.stored(One, First, hashOf(1), at(4));
     EXPECT_TRUE(view.holders(chainOf(1, 1), at(5)).at(0).longest().trusted);
 }
 
-TEST(CacheView, AFullSetGivesUpTheOldestEntry)
+TEST(CacheView, AFullSetEvictsTheOldestEntry)
 {
     CacheView view(1); // one set of 16
     view.setIncarnation(One, First, at(0));
@@ -108,14 +108,14 @@
     EXPECT_EQ(view.holders(chainOf(17, 1), at(20)).size(), 1U);
 }
 
-// Engines crash, come back and are lost in any order while events of every life still arrive. A
-// holder must always be the engine's present life and something that this life stored and has not
-// evicted, or a caller waits for work that nobody has.
+// Guards against holders from a past incarnation while engines crash, restart and are removed in
+// any order and events of every incarnation still arrive: each holder must have the engine's
+// current incarnation and a prefix that it stored and has not evicted.
 RC_GTEST_PROP(CacheView, NeverCountsADeadIncarnation,
               (const std::vector<std::tuple<std::uint8_t, std::uint8_t, std::uint8_t>> &steps))
 {
     CacheView view(1U << 14U);
-    std::map<EngineKey, std::uint64_t> life;
+    std::map<EngineKey, std::uint64_t> incarnations;
     std::map<std::pair<EngineKey, std::uint64_t>, bool> held;
     int now = 0;
     for (const auto &[what, which, hash] : steps) {
@@ -123,17 +123,18 @@
         ++now;
         switch (what % 5U) {
         case 0:
-            life[engine] = now;
-            view.setIncarnation(engine, Incarnation{life[engine]}, at(now));
+            incarnations[engine] = now;
+            view.setIncarnation(engine, Incarnation{incarnations[engine]}, at(now));
             std::erase_if(held, [&](const auto &item) { return item.first.first == engine; });
             break;
         case 1:
-            life.erase(engine);
-            view.forget(engine);
+            incarnations.erase(engine);
+            view.removeEngine(engine);
             std::erase_if(held, [&](const auto &item) { return item.first.first == engine; });
             break;
         case 2:
-            view.evicted(engine, Incarnation{life.contains(engine) ? life[engine] : 0},
+            view.evicted(engine,
+                         Incarnation{incarnations.contains(engine) ? incarnations[engine] : 0},
                          hashOf(hash % 8U));
             held.erase({engine, hash % 8U});
             break;
@@ -141,15 +142,15 @@
             view.stored(engine, Incarnation{9'999'999}, hashOf(hash % 8U), at(now));
             break;
         default:
-            if (life.contains(engine)) {
-                view.stored(engine, Incarnation{life[engine]}, hashOf(hash % 8U), at(now));
+            if (incarnations.contains(engine)) {
+                view.stored(engine, Incarnation{incarnations[engine]}, hashOf(hash % 8U), at(now));
                 held[{engine, hash % 8U}] = true;
             }
         }
         for (std::uint64_t each = 0; each < 8; ++each) {
             for (const PrefixHolder &holder : view.holders(chainOf(each, 1), at(now))) {
                 RC_ASSERT(held.contains({holder.engine, each}));
-                RC_ASSERT(holder.incarnation == Incarnation{life.at(holder.engine)});
+                RC_ASSERT(holder.incarnation == Incarnation{incarnations.at(holder.engine)});
             }
         }
     }
--- a/src/vanilladyke/policy/claim_ledger.cpp
+++ b/src/vanilladyke/policy/claim_ledger.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// What a record takes in an append, about.
+/// Approximate size of a record in an append, in bytes.
 std::size_t sizeOf(const ClaimRecord &record)
 {
     constexpr std::size_t Fixed = 160;
@@ -40,13 +40,13 @@
 
 Refusal refusalByAge(KeyAge age)
 {
-    if (age == KeyAge::Ahead) {
+    if (age == KeyAge::InFuture) {
         return {RefusalReason::KeyExpired,
                 "the key is dated ahead of this host's clock",
                 Ran::No,
                 {}};
     }
-    // What the key did in its time is forgotten, so that "not run" could be false.
+    // Earlier calls with the key are no longer recorded, so "not run" could be false.
     return {RefusalReason::KeyExpired,
             "the key is older than the claim window; this request sent nothing",
             Ran::Unknown,
@@ -68,14 +68,14 @@
 void ClaimLedger::configure(Duration window, std::uint32_t liveNodes)
 {
     m_window = window;
-    m_pacer.share(liveNodes);
+    m_pacer.setLiveNodes(liveNodes);
 }
 
-void ClaimLedger::ask(const ClaimRequest &request, Moment at)
+void ClaimLedger::submit(const ClaimRequest &request, ClockReading at)
 {
-    const TimePoint claimBy = std::min(request.deadline, at.now + ClaimPatience);
+    const TimePoint claimBy = std::min(request.deadline, at.now + ClaimTimeout);
     Waiting waiting{request, {}, at.now, claimBy, false};
-    const KeyAge age = judgeAge(request.key.key, at.wall, m_window);
+    const KeyAge age = checkAge(request.key.key, at.wall, m_window);
     if (age != KeyAge::Valid || !m_fold.covers(request.key.key)) {
         m_decisions.push_back({request.ticket, refusalByAge(age)});
         return;
@@ -100,13 +100,13 @@
 
 void ClaimLedger::abandon(ClaimTicket ticket)
 {
-    // A claim that is on its way becomes the owner later on; releaseIfUnused then gives it up.
+    // Its claim may still become the key's owner; releaseIfUnused() then releases it.
     m_waiting.erase(ticket);
 }
 
 void ClaimLedger::settle(const ClaimRecord &record)
 {
-    if (m_sending.erase(nonceOf(record)) == 0) {
+    if (m_permitted.erase(nonceOf(record)) == 0) {
         return;
     }
     ClaimRecord kept = record;
@@ -114,7 +114,7 @@
         if (!isWellFormed(kept)) {
             *outcome = {outcome->key, outcome->nonce, OutcomeKind::AnswerTooLarge, 0, {}, {}};
         }
-        m_unseenOutcomes.insert_or_assign(outcome->nonce, *outcome);
+        m_unreadOutcomes.insert_or_assign(outcome->nonce, *outcome);
     }
     m_queue.push_back(std::move(kept));
 }
@@ -122,25 +122,25 @@
 void ClaimLedger::enqueueClaim(Waiting &waiting)
 {
     waiting.nonce = {m_process, ++m_sequence};
-    waiting.seen = false;
+    waiting.isRead = false;
     m_queue.emplace_back(
             Claim{waiting.request.key, waiting.nonce, m_node, waiting.request.request});
 }
 
-std::optional<ClaimBatch> ClaimLedger::nextBatch(Moment at)
+std::optional<ClaimBatch> ClaimLedger::nextBatch(ClockReading at)
 {
     if (m_batchState != BatchState::None || !ready() || m_queue.empty()) {
         return std::nullopt;
     }
-    // Claims of calls that have been refused meanwhile need not be appended any more.
-    std::set<ClaimNonce> wanted;
+    // Drops claims of calls that have been refused or abandoned in the meantime.
+    std::set<ClaimNonce> waitingClaims;
     for (const auto &[ticket, waiting] : m_waiting) {
-        wanted.insert(waiting.nonce);
+        waitingClaims.insert(waiting.nonce);
     }
     std::erase_if(m_queue, [&](const ClaimRecord &record) {
-        return !isSettled(record) && !wanted.contains(nonceOf(record));
+        return !isSettled(record) && !waitingClaims.contains(nonceOf(record));
     });
-    if (m_queue.empty() || !m_pacer.take(at.now)) {
+    if (m_queue.empty() || !m_pacer.tryTake(at.now)) {
         return std::nullopt;
     }
     std::size_t bytes = 0;
@@ -150,8 +150,8 @@
         m_batch.push_back(std::move(m_queue.front()));
         m_queue.pop_front();
     }
-    m_unseen = m_batch;
-    m_batchState = BatchState::UnderWay;
+    m_unread = m_batch;
+    m_batchState = BatchState::InProgress;
     return m_batch;
 }
 
@@ -163,9 +163,9 @@
     return m_pacer.readyAt();
 }
 
-void ClaimLedger::appended(AppendResult result, std::uint64_t offset, Moment at)
+void ClaimLedger::appended(AppendResult result, std::uint64_t offset, ClockReading at)
 {
-    if (m_batchState != BatchState::UnderWay) {
+    if (m_batchState != BatchState::InProgress) {
         return;
     }
     switch (result) {
@@ -174,46 +174,46 @@
         m_appendedAt = at.now;
         m_batchState = BatchState::None;
         if (offset == m_fold.next()) {
-            // All before it is known, so the claims are decided without another read. The whole
-            // batch counts, also what has been seen at an earlier offset: all other readers take
-            // it twice, and must come to the same owner.
+            // No records precede it that this node has not read, so the claims can be decided
+            // without another read. The whole batch is applied, including records already read at
+            // an earlier offset: all other readers apply them twice and must find the same owner.
             apply({offset, at.wall, m_batch});
         }
-        m_unseen.clear();
+        m_unread.clear();
         m_batch.clear();
         break;
     case AppendResult::NotDone:
         m_pacer.failed(at.now);
         m_batchState = BatchState::None;
-        requeueUnseen();
+        requeueUnread();
         break;
     case AppendResult::InDoubt:
-        // The batch may stand in the log, or get there yet. Only a read that begins from now on
-        // can tell; until then nothing of it is appended again.
+        // The batch may have been written, or may still be. Only a read that begins after this
+        // point resolves that; until then none of it is appended again.
         m_pacer.failed(at.now);
         m_batchState = BatchState::InDoubt;
-        m_doubtSince = at.now;
+        m_inDoubtSince = at.now;
         break;
     }
     decide(at);
 }
 
-void ClaimLedger::requeueUnseen()
+void ClaimLedger::requeueUnread()
 {
-    m_queue.insert(m_queue.begin(), m_unseen.begin(), m_unseen.end());
-    m_unseen.clear();
+    m_queue.insert(m_queue.begin(), m_unread.begin(), m_unread.end());
+    m_unread.clear();
     m_batch.clear();
 }
 
-void ClaimLedger::read(const ClaimPage &page, Moment at)
+void ClaimLedger::read(const ClaimPage &page, ClockReading at)
 {
     const std::uint64_t start =
             page.records.empty() ? page.firstOffset : page.records.front().offset;
     const bool startsLater = m_fold.next() < start;
-    // A read that began before an append of this node may answer as of before it.
+    // A read that began before an append of this node may return the state before it.
     const bool wentBack = page.nextOffset < m_fold.next() && page.askedAt > m_appendedAt;
     if (wentBack || (startsLater && page.records.empty())) {
-        // Records are gone that this node has never seen, and nothing tells how old they were.
+        // The log dropped records that this node has not read, and their age is unknown.
         m_fold.skipTo(page.firstOffset, at.wall + ClockSkew);
     } else if (startsLater) {
         m_fold.skipTo(start, coveredFrom(page.records.front().appendedAt));
@@ -225,9 +225,9 @@
     }
     if (m_fold.next() >= page.nextOffset) {
         m_readThrough = page.askedAt;
-        if (m_batchState == BatchState::InDoubt && page.askedAt > m_doubtSince) {
+        if (m_batchState == BatchState::InDoubt && page.askedAt > m_inDoubtSince) {
             m_batchState = BatchState::None;
-            requeueUnseen();
+            requeueUnread();
         }
     }
     decide(at);
@@ -238,27 +238,28 @@
     m_fold.apply(record.offset, record.batch);
     for (const ClaimRecord &each : record.batch) {
         if (nonceOf(each).process == m_process) {
-            sawOwn(each);
+            applyOwn(each);
             releaseIfUnused(keyOf(each));
         }
     }
 }
 
-void ClaimLedger::sawOwn(const ClaimRecord &record)
+void ClaimLedger::applyOwn(const ClaimRecord &record)
 {
-    std::erase(m_unseen, record);
+    std::erase(m_unread, record);
     if (std::holds_alternative<ClaimOutcome>(record)) {
-        m_unseenOutcomes.erase(nonceOf(record));
+        m_unreadOutcomes.erase(nonceOf(record));
         return;
     }
     for (auto &[ticket, waiting] : m_waiting) {
-        waiting.seen = waiting.seen || waiting.nonce == nonceOf(record);
+        waiting.isRead = waiting.isRead || waiting.nonce == nonceOf(record);
     }
 }
 
-/// A claim whose call was refused while its append was in doubt can become the owner later on. Its
-/// caller was told that nothing ran, so it is never sent; unless it were released, every repeat
-/// would wait for an outcome that never comes.
+/// Releases a claim of this node that owns the key although its call is no longer waiting, for
+/// example because it was refused while the append was in doubt. The refusal stated that nothing
+/// ran, so the call is never sent; without a release, every repeat would wait for an outcome that
+/// is never recorded.
 void ClaimLedger::releaseIfUnused(const ClaimKey &key)
 {
     const ClaimEntry *entry = m_fold.find(key);
@@ -267,45 +268,46 @@
         return;
     }
     const ClaimNonce owner = entry->owner;
-    const bool waited = std::any_of(m_waiting.begin(), m_waiting.end(),
-                                    [&](const auto &each) { return each.second.nonce == owner; });
-    if (waited || m_sending.contains(owner) || m_unseenOutcomes.contains(owner)) {
+    const bool isWaiting = std::any_of(m_waiting.begin(), m_waiting.end(), [&](const auto &each) {
+        return each.second.nonce == owner;
+    });
+    if (isWaiting || m_permitted.contains(owner) || m_unreadOutcomes.contains(owner)) {
         return;
     }
     const ClaimRecord release = ClaimRelease{key, owner};
     const auto holds = [&](const auto &records) {
         return std::find(records.begin(), records.end(), release) != records.end();
     };
-    if (!holds(m_queue) && !holds(m_unseen)) {
+    if (!holds(m_queue) && !holds(m_unread)) {
         m_queue.push_back(release);
     }
 }
 
-void ClaimLedger::tick(Moment at)
+void ClaimLedger::tick(ClockReading at)
 {
     decide(at);
-    m_fold.forgetBefore(forgettableBefore(at.wall, m_window));
+    m_fold.dropBefore(droppableBefore(at.wall, m_window));
 }
 
-void ClaimLedger::decide(Moment at)
+void ClaimLedger::decide(ClockReading at)
 {
-    std::vector<ClaimKey> givenUp;
+    std::vector<ClaimKey> decidedKeys;
     for (auto each = m_waiting.begin(); each != m_waiting.end();) {
         Step verdict = verdictOn(each->second, at);
         if (!verdict) {
             ++each;
             continue;
         }
-        givenUp.push_back(each->second.request.key);
+        decidedKeys.push_back(each->second.request.key);
         m_decisions.push_back({each->first, std::move(*verdict)});
         each = m_waiting.erase(each);
     }
-    for (const ClaimKey &key : givenUp) {
+    for (const ClaimKey &key : decidedKeys) {
         releaseIfUnused(key);
     }
 }
 
-ClaimLedger::Step ClaimLedger::verdictOn(Waiting &waiting, Moment at)
+ClaimLedger::Step ClaimLedger::verdictOn(Waiting &waiting, ClockReading at)
 {
     const ClaimEntry *entry = m_fold.find(waiting.request.key);
     if (entry == nullptr) {
@@ -326,7 +328,7 @@
     return entry->owner == waiting.nonce ? onOwnClaim(waiting, at) : onOthersClaim(waiting, at);
 }
 
-ClaimLedger::Step ClaimLedger::onOwnClaim(const Waiting &waiting, Moment at)
+ClaimLedger::Step ClaimLedger::onOwnClaim(const Waiting &waiting, ClockReading at)
 {
     if (at.now >= waiting.request.deadline) {
         return Refusal{RefusalReason::TooLate,
@@ -337,14 +339,14 @@
     if (!m_fold.covers(waiting.request.key.key)) {
         return refusalByAge(KeyAge::Expired);
     }
-    m_sending.insert(waiting.nonce);
-    return MaySend{waiting.nonce};
+    m_permitted.insert(waiting.nonce);
+    return SendPermit{waiting.nonce};
 }
 
-ClaimLedger::Step ClaimLedger::onOthersClaim(const Waiting &waiting, Moment at) const
+ClaimLedger::Step ClaimLedger::onOthersClaim(const Waiting &waiting, ClockReading at) const
 {
-    const auto local = m_unseenOutcomes.find(m_fold.find(waiting.request.key)->owner);
-    if (local != m_unseenOutcomes.end()) {
+    const auto local = m_unreadOutcomes.find(m_fold.find(waiting.request.key)->owner);
+    if (local != m_unreadOutcomes.end()) {
         return verdictOf(local->second);
     }
     if (at.now < waiting.request.deadline) {
@@ -356,9 +358,9 @@
                    {}};
 }
 
-ClaimLedger::Step ClaimLedger::onFreeKey(Waiting &waiting, Moment at, bool spent)
+ClaimLedger::Step ClaimLedger::onFreeKey(Waiting &waiting, ClockReading at, bool isExhausted)
 {
-    if (spent) {
+    if (isExhausted) {
         return Refusal{RefusalReason::KeyExpired,
                        "the key was given up too often; nothing ran under it",
                        Ran::No,
@@ -367,9 +369,9 @@
     if (at.now >= waiting.claimBy) {
         return Refusal{RefusalReason::LogUnavailable,
                        "the claim did not get into the log in time; this request sent nothing",
-                       ranOfUnsent(waiting.request), at.now + ClaimPatience};
+                       ranOfUnsent(waiting.request), at.now + ClaimTimeout};
     }
-    if (waiting.seen || waiting.nonce.sequence == 0) {
+    if (waiting.isRead || waiting.nonce.sequence == 0) {
         enqueueClaim(waiting);
     }
     return std::nullopt;
@@ -383,10 +385,10 @@
 bool ClaimLedger::idle() const
 {
     const bool settledWaits = std::any_of(m_queue.begin(), m_queue.end(), isSettled);
-    return m_sending.empty() && m_batchState == BatchState::None && !settledWaits;
+    return m_permitted.empty() && m_batchState == BatchState::None && !settledWaits;
 }
 
-bool ClaimLedger::wantsRead() const
+bool ClaimLedger::needsRead() const
 {
     return !ready() || m_batchState == BatchState::InDoubt || !m_waiting.empty();
 }
--- a/src/vanilladyke/policy/claim_ledger_test.cpp
+++ b/src/vanilladyke/policy/claim_ledger_test.cpp
@@ -15,7 +15,7 @@
 constexpr Duration Window = minutes(10);
 constexpr WallTime WallStart = WallTime(std::chrono::hours(500'000));
 
-/// The log, and appends whose answer was lost and that arrive later.
+/// An in-memory log, with appends that were reported in doubt and are written later.
 struct FakeLog
 {
     std::vector<ClaimLogRecord> records;
@@ -28,13 +28,13 @@
     }
 };
 
-struct Asked
+struct SubmittedCall
 {
     ClaimRequest request;
     std::optional<ClaimVerdict> verdict;
 };
 
-/// One life of a node: what a real one does, one step at a time.
+/// One process of a node, driven one step at a time.
 struct Node
 {
     explicit Node(const std::string &process)
@@ -45,14 +45,14 @@
 
     ClaimLedger ledger;
     std::vector<std::pair<ClaimKey, ClaimNonce>> permits;
-    std::optional<ClaimBatch> underWay;
+    std::optional<ClaimBatch> inProgress;
 };
 
-/// Nodes, callers and a log, driven by random steps.
-class World
+/// Simulation of nodes, callers and a log, driven by random steps.
+class ClaimSimulation
 {
 public:
-    explicit World(std::uint64_t seed)
+    explicit ClaimSimulation(std::uint64_t seed)
         : m_random(seed)
     {
         for (int i = 0; i < 3; ++i) {
@@ -71,7 +71,7 @@
         Node &node = *chosen;
         switch (uniformBelow(m_random, 8)) {
         case 0:
-            ask(node);
+            submit(node);
             break;
         case 1:
         case 2:
@@ -88,14 +88,14 @@
             deliverLate();
             break;
         default:
-            restartSometimes();
+            restartRandomly();
             break;
         }
-        chosen->ledger.tick(at()); // may be a new life of it by now
+        chosen->ledger.tick(at()); // not `node`: it may have been restarted
         collect();
     }
 
-    /// Ends all faults and lets everything come to rest.
+    /// Stops injecting faults and runs until all work has finished.
     void settle()
     {
         while (!m_log.late.empty()) {
@@ -126,43 +126,44 @@
         });
     }
 
-    [[nodiscard]] bool noneTwice() const
+    [[nodiscard]] bool noneSentTwice() const
     {
         return std::all_of(m_sent.begin(), m_sent.end(),
                            [](const auto &each) { return each.second <= 1; });
     }
 
-    /// A repeat that heard "not run" was told so of all tries, past and to come.
-    [[nodiscard]] bool refusalsTrue() const
+    /// "Not run", returned to a repeat, must hold for all attempts, past and future.
+    [[nodiscard]] bool refusalsAreTrue() const
     {
-        return std::all_of(m_asked.begin(), m_asked.end(), [&](const auto &each) {
+        return std::all_of(m_submitted.begin(), m_submitted.end(), [&](const auto &each) {
             const auto &[request, verdict] = each.second;
             const auto *refusal = verdict ? std::get_if<Refusal>(&*verdict) : nullptr;
-            const bool saysNo = refusal != nullptr && refusal->ran == Ran::No;
-            return !saysNo || !request.repeat || m_sent.count({request.key, request.request}) == 0;
+            const bool saysNotRun = refusal != nullptr && refusal->ran == Ran::No;
+            return !saysNotRun || !request.repeat
+                   || m_sent.count({request.key, request.request}) == 0;
         });
     }
 
-    /// Every call that was asked of a node that still lives has its verdict.
-    [[nodiscard]] bool allTold() const
+    /// Every call to a node that has not been killed since has its verdict.
+    [[nodiscard]] bool allDecided() const
     {
-        return std::all_of(m_asked.begin(), m_asked.end(), [&](const auto &each) {
+        return std::all_of(m_submitted.begin(), m_submitted.end(), [&](const auto &each) {
             return each.second.verdict || m_lost.contains(each.first);
         });
     }
 
 private:
-    [[nodiscard]] Moment at() const
+    [[nodiscard]] ClockReading at() const
     {
         return {TimePoint(seconds(1000)) + m_elapsed, WallStart + m_elapsed};
     }
 
     std::unique_ptr<Node> newNode()
     {
-        return std::make_unique<Node>("p" + std::to_string(++m_lives));
+        return std::make_unique<Node>("p" + std::to_string(++m_processes));
     }
 
-    void ask(Node &node)
+    void submit(Node &node)
     {
         ClaimRequest request;
         request.ticket = ClaimTicket{++m_tickets};
@@ -170,15 +171,15 @@
         request.request = RequestDigest(uniformBelow(m_random, 8) == 0 ? "other" : "same");
         request.deadline = at().now + milliseconds(500 + uniformBelow(m_random, 4000));
         request.repeat = uniformBelow(m_random, 2) == 0;
-        m_asked[request.ticket] = {request, std::nullopt};
-        m_askedOf[request.ticket] = &node;
-        node.ledger.ask(request, at());
+        m_submitted[request.ticket] = {request, std::nullopt};
+        m_submittedTo[request.ticket] = &node;
+        node.ledger.submit(request, at());
     }
 
     void append(Node &node, std::optional<std::uint64_t> fate = std::nullopt)
     {
-        if (!node.underWay) {
-            node.underWay = node.ledger.nextBatch(at());
+        if (!node.inProgress) {
+            node.inProgress = node.ledger.nextBatch(at());
             return;
         }
         finishAppend(node, fate ? *fate : uniformBelow(m_random, 6));
@@ -186,17 +187,17 @@
 
     void finishAppend(Node &node, std::uint64_t fate)
     {
-        if (!node.underWay) {
+        if (!node.inProgress) {
             return;
         }
-        const ClaimBatch batch = std::move(*node.underWay);
-        node.underWay.reset();
+        const ClaimBatch batch = std::move(*node.inProgress);
+        node.inProgress.reset();
         if (fate == 1) {
             node.ledger.appended(AppendResult::NotDone, 0, at());
-        } else if (fate == 2) { // written, the answer lost
+        } else if (fate == 2) { // written, but the answer was lost
             m_log.append(batch, at().wall);
             node.ledger.appended(AppendResult::InDoubt, 0, at());
-        } else if (fate == 3) { // neither yet; perhaps later
+        } else if (fate == 3) { // not written yet; may be later
             m_log.late.push_back(batch);
             node.ledger.appended(AppendResult::InDoubt, 0, at());
         } else if (fate == 4) { // written twice
@@ -249,22 +250,22 @@
         }
     }
 
-    void restartSometimes()
+    void restartRandomly()
     {
         if (uniformBelow(m_random, 4) != 0) {
             return;
         }
         auto &node = m_nodes.at(uniformBelow(m_random, m_nodes.size()));
         if (!node->permits.empty() && uniformBelow(m_random, 2) == 0) {
-            // Killed right after the call left.
+            // Killed right after the call was sent.
             const auto &key = node->permits.back().first;
             ++m_sent[{key, node->ledger.fold().find(key)->request}];
         }
-        if (node->underWay && uniformBelow(m_random, 2) == 0) {
-            m_log.late.push_back(*node->underWay);
+        if (node->inProgress && uniformBelow(m_random, 2) == 0) {
+            m_log.late.push_back(*node->inProgress);
         }
-        for (const auto &[ticket, whom] : m_askedOf) {
-            if (whom == node.get()) {
+        for (const auto &[ticket, target] : m_submittedTo) {
+            if (target == node.get()) {
                 m_lost.insert(ticket);
             }
         }
@@ -275,11 +276,11 @@
     {
         for (auto &node : m_nodes) {
             for (ClaimDecision &decision : node->ledger.takeDecisions()) {
-                Asked &asked = m_asked.at(decision.ticket);
-                if (const auto *permit = std::get_if<MaySend>(&decision.verdict)) {
-                    node->permits.emplace_back(asked.request.key, permit->nonce);
+                SubmittedCall &call = m_submitted.at(decision.ticket);
+                if (const auto *permit = std::get_if<SendPermit>(&decision.verdict)) {
+                    node->permits.emplace_back(call.request.key, permit->nonce);
                 }
-                asked.verdict = std::move(decision.verdict);
+                call.verdict = std::move(decision.verdict);
             }
         }
     }
@@ -289,49 +290,49 @@
     FakeLog m_log;
     std::vector<std::unique_ptr<Node>> m_nodes;
     std::vector<ClaimKey> m_keys;
-    std::map<ClaimTicket, Asked> m_asked;
-    std::map<ClaimTicket, const Node *> m_askedOf;
-    std::set<ClaimTicket> m_lost; ///< asked of a node that was killed since
+    std::map<ClaimTicket, SubmittedCall> m_submitted;
+    std::map<ClaimTicket, const Node *> m_submittedTo;
+    std::set<ClaimTicket> m_lost; ///< submitted to a node that has been killed since
     std::map<std::pair<ClaimKey, RequestDigest>, int> m_sent;
-    std::uint64_t m_lives = 0;
+    std::uint64_t m_processes = 0;
     std::uint64_t m_tickets = 0;
 };
 
-/// Runs a world and names what went wrong in it.
-std::vector<std::string> faultsOf(std::uint64_t seed)
+/// Runs a simulation and returns the violated invariants.
+std::vector<std::string> violationsOf(std::uint64_t seed)
 {
-    World world(seed);
+    ClaimSimulation simulation(seed);
     for (int i = 0; i < 400; ++i) {
-        world.step();
+        simulation.step();
     }
-    world.settle();
-    std::vector<std::string> faults;
-    const auto check = [&](bool holds, const char *fault) {
+    simulation.settle();
+    std::vector<std::string> violations;
+    const auto check = [&](bool holds, const char *violation) {
         if (!holds) {
-            faults.emplace_back(fault);
+            violations.emplace_back(violation);
         }
     };
-    check(world.noneTwice(), "a call was sent twice");
-    check(world.refusalsTrue(), "a refusal was false");
-    check(world.foldsAgree(), "the readers disagree");
-    check(world.allTold(), "a caller was told nothing");
-    return faults;
+    check(simulation.noneSentTwice(), "a call was sent twice");
+    check(simulation.refusalsAreTrue(), "a refusal stated \"not run\" of a call that was sent");
+    check(simulation.foldsAgree(), "the nodes disagree on the owner of a key");
+    check(simulation.allDecided(), "a call got no verdict");
+    return violations;
 }
 
-// Nodes are killed, paused and restarted, appends get lost, arrive late or twice, and callers
-// repeat their bookings anywhere. A user would pay twice, or be told that nothing ran when it did.
+// Guards against duplicate execution and false "not run" refusals while nodes are killed and
+// restarted, appends are lost, delayed or duplicated, and callers repeat their calls at any node.
 RC_GTEST_PROP(ClaimLedger, AtMostOneSenderAndTrueRefusalsOverAnyInterleaving, (std::uint64_t seed))
 {
-    RC_ASSERT(faultsOf(seed) == std::vector<std::string>());
+    RC_ASSERT(violationsOf(seed) == std::vector<std::string>());
 }
 
-// An append was written twice, and the node saw the first of the two before its own append was
-// answered. It left what it had seen out of the second, so that its picture of the key's owner
-// differed from all other nodes', and with it who might send.
-TEST(ClaimLedger, SeedsThatShowedAFaultOnce)
+// Guards against an owner that differs between nodes: an append was written twice, and the node
+// read the first copy before the append was confirmed. It did not apply the records of the second
+// copy that it had read already, unlike all other nodes.
+TEST(ClaimLedger, SeedsOfPastFailures)
 {
     for (const std::uint64_t seed : {15601420UL, 4302193093078UL, 188864944128732UL}) {
-        EXPECT_EQ(faultsOf(seed), std::vector<std::string>()) << seed;
+        EXPECT_EQ(violationsOf(seed), std::vector<std::string>()) << seed;
     }
 }
 
@@ -349,20 +350,20 @@
         return {ClaimTicket{ticket}, m_key, RequestDigest("d"), m_at.now + seconds(10), repeat};
     }
 
-    void pass(Duration span)
+    void advance(Duration span)
     {
         m_at.now += span;
         m_at.wall += span;
     }
 
-    ClaimVerdict only()
+    ClaimVerdict onlyVerdict()
     {
         const auto decisions = m_ledger.takeDecisions();
         EXPECT_EQ(decisions.size(), 1U);
         return decisions.at(0).verdict;
     }
 
-    Moment m_at{TimePoint(seconds(1000)), WallStart};
+    ClockReading m_at{TimePoint(seconds(1000)), WallStart};
     Random m_random{7};
     ClaimKey m_key{CustomerId("brand"), ServiceId("booking"), newUuidV7(WallStart, m_random)};
     ClaimLedger m_ledger{ProcessId("p"), NodeId("n")};
@@ -373,7 +374,7 @@
     for (std::uint64_t i = 1; i <= 5; ++i) {
         ClaimRequest each = request(i);
         each.key.key = newUuidV7(WallStart, m_random);
-        m_ledger.ask(each, m_at);
+        m_ledger.submit(each, m_at);
     }
     const auto batch = m_ledger.nextBatch(m_at);
     ASSERT_TRUE(batch.has_value());
@@ -382,30 +383,30 @@
     EXPECT_EQ(m_ledger.takeDecisions().size(), 5U);
 }
 
-// The log takes the claim but its answer gets lost. Appending again at once could double records,
-// giving up could leave the key blocked; reading the log tells.
-TEST_F(OneNode, ALostAnswerIsSettledByReadingTheLog)
+// Guards against duplicate records and blocked keys after the log's answer to an append was lost:
+// the node must read the log before it appends anything again.
+TEST_F(OneNode, ALostAnswerIsResolvedByReadingTheLog)
 {
-    m_ledger.ask(request(1), m_at);
+    m_ledger.submit(request(1), m_at);
     const ClaimBatch batch = m_ledger.nextBatch(m_at).value();
     m_ledger.appended(AppendResult::InDoubt, 0, m_at);
-    pass(seconds(1));
+    advance(seconds(1));
     EXPECT_FALSE(m_ledger.nextBatch(m_at).has_value());
     m_ledger.read({m_at.now, 0, 1, {{0, m_at.wall, batch}}}, m_at);
-    EXPECT_TRUE(std::holds_alternative<MaySend>(only()));
+    EXPECT_TRUE(std::holds_alternative<SendPermit>(onlyVerdict()));
     EXPECT_FALSE(m_ledger.nextBatch(m_at).has_value());
 }
 
-// The log is down. The caller has to learn soon that its booking did not run, and when the claim
-// turns up in the log all the same, it must never be sent.
-TEST_F(OneNode, AClaimGivenUpIsNeverSentAndFreesTheKeyOnceItTurnsUp)
+// Guards against sending a call that was refused during an outage of the log: if its claim appears
+// in the log later, the key must be released and the call never sent.
+TEST_F(OneNode, ARefusedClaimIsNeverSentAndReleasesTheKeyOnceItIsRead)
 {
-    m_ledger.ask(request(1), m_at);
+    m_ledger.submit(request(1), m_at);
     const ClaimBatch batch = m_ledger.nextBatch(m_at).value();
     m_ledger.appended(AppendResult::InDoubt, 0, m_at);
-    pass(ClaimPatience);
+    advance(ClaimTimeout);
     m_ledger.tick(m_at);
-    const auto refusal = std::get<Refusal>(only());
+    const auto refusal = std::get<Refusal>(onlyVerdict());
     EXPECT_EQ(refusal.reason, RefusalReason::LogUnavailable);
     EXPECT_EQ(refusal.ran, Ran::No);
     m_ledger.read({m_at.now, 0, 1, {{0, m_at.wall, batch}}}, m_at);
@@ -415,71 +416,72 @@
     EXPECT_TRUE(std::holds_alternative<ClaimRelease>(release->front()));
 }
 
-// The caller's first try reached another node, whose connection to the caller broke. This node
-// can't see the log; "not run" would make the caller book once more under a new key.
-TEST_F(OneNode, ARepeatHearsUnknownWhileTheLogIsDown)
+// Guards against duplicate execution: the first attempt reached another node, whose connection to
+// the caller broke, and this node cannot read the log. On "not run" the caller would repeat the
+// call under a new key.
+TEST_F(OneNode, ARepeatIsRefusedAsUnknownWhileTheLogIsDown)
 {
-    m_ledger.ask(request(1, true), m_at);
-    pass(ClaimPatience);
+    m_ledger.submit(request(1, true), m_at);
+    advance(ClaimTimeout);
     m_ledger.tick(m_at);
-    EXPECT_EQ(std::get<Refusal>(only()).ran, Ran::Unknown);
+    EXPECT_EQ(std::get<Refusal>(onlyVerdict()).ran, Ran::Unknown);
 }
 
 TEST_F(OneNode, ARepeatGetsTheAnswerBeforeItsRecordIsInTheLog)
 {
-    m_ledger.ask(request(1), m_at);
+    m_ledger.submit(request(1), m_at);
     static_cast<void>(m_ledger.nextBatch(m_at));
     m_ledger.appended(AppendResult::Done, 0, m_at);
-    const auto permit = std::get<MaySend>(only());
-    m_ledger.ask(request(2), m_at);
+    const auto permit = std::get<SendPermit>(onlyVerdict());
+    m_ledger.submit(request(2), m_at);
     EXPECT_TRUE(m_ledger.takeDecisions().empty());
     m_ledger.settle(ClaimOutcome{m_key, permit.nonce, OutcomeKind::Answered, 201, "", "booked"});
     m_ledger.tick(m_at);
-    EXPECT_EQ(std::get<ClaimOutcome>(only()).body, "booked");
+    EXPECT_EQ(std::get<ClaimOutcome>(onlyVerdict()).body, "booked");
     EXPECT_FALSE(m_ledger.idle());
 }
 
 TEST_F(OneNode, AClaimSeenAfterItsDeadlineIsNotSent)
 {
-    m_ledger.ask(request(1), m_at);
+    m_ledger.submit(request(1), m_at);
     static_cast<void>(m_ledger.nextBatch(m_at));
-    pass(seconds(20)); // the process was paused
+    advance(seconds(20)); // the process was paused
     m_ledger.appended(AppendResult::Done, 0, m_at);
-    EXPECT_EQ(std::get<Refusal>(only()).reason, RefusalReason::TooLate);
+    EXPECT_EQ(std::get<Refusal>(onlyVerdict()).reason, RefusalReason::TooLate);
 }
 
 TEST_F(OneNode, TheSameKeyWithAnotherBodyIsRefused)
 {
-    m_ledger.ask(request(1), m_at);
+    m_ledger.submit(request(1), m_at);
     static_cast<void>(m_ledger.nextBatch(m_at));
     m_ledger.appended(AppendResult::Done, 0, m_at);
-    static_cast<void>(only());
+    static_cast<void>(onlyVerdict());
     ClaimRequest other = request(2, true);
     other.request = RequestDigest("other");
-    m_ledger.ask(other, m_at);
-    const auto refusal = std::get<Refusal>(only());
+    m_ledger.submit(other, m_at);
+    const auto refusal = std::get<Refusal>(onlyVerdict());
     EXPECT_EQ(refusal.reason, RefusalReason::KeyReused);
     EXPECT_EQ(refusal.ran, Ran::No);
 }
 
-// A caller comes back with a key of an hour ago. What it did is forgotten, so neither sending it
-// nor saying "not run" would be safe.
+// Guards against accepting a key beyond the claim window: earlier calls with it are no longer
+// recorded, so neither sending it nor refusing it as "not run" is safe.
 TEST_F(OneNode, AnExpiredKeyIsNeitherSentNorCalledNotRun)
 {
-    pass(Window + seconds(1));
-    m_ledger.ask(request(1), m_at);
-    const auto refusal = std::get<Refusal>(only());
+    advance(Window + seconds(1));
+    m_ledger.submit(request(1), m_at);
+    const auto refusal = std::get<Refusal>(onlyVerdict());
     EXPECT_EQ(refusal.reason, RefusalReason::KeyExpired);
     EXPECT_EQ(refusal.ran, Ran::Unknown);
 }
 
-// A read that was waiting at the log when this node appended answers as of before the append. Taken
-// for a log that lost records, it would make the node refuse every key of the window.
+// Guards against treating a stale read as a log that lost records: a read that began before this
+// node's append returns the state before it. The node would refuse every key of the window.
 TEST_F(OneNode, AnAnswerFromBeforeTheOwnAppendChangesNothing)
 {
     const TimePoint before = m_at.now;
-    pass(milliseconds(5));
-    m_ledger.ask(request(1), m_at);
+    advance(milliseconds(5));
+    m_ledger.submit(request(1), m_at);
     static_cast<void>(m_ledger.nextBatch(m_at));
     m_ledger.appended(AppendResult::Done, 0, m_at);
     m_ledger.read({before, 0, 0, {}}, m_at);
@@ -487,17 +489,17 @@
     EXPECT_TRUE(m_ledger.fold().covers(m_key.key));
 }
 
-// A service names a content type of a kilobyte. Readers refuse such a record and all others of its
-// append, so that it must not get there.
+// Guards against appending a malformed outcome, here with a content type of 1024 bytes: readers
+// refuse the record together with all others of its append.
 TEST_F(OneNode, AnOutcomeThatReadersWouldRefuseIsNotAppended)
 {
-    m_ledger.ask(request(1), m_at);
+    m_ledger.submit(request(1), m_at);
     static_cast<void>(m_ledger.nextBatch(m_at));
     m_ledger.appended(AppendResult::Done, 0, m_at);
-    const auto permit = std::get<MaySend>(only());
+    const auto permit = std::get<SendPermit>(onlyVerdict());
     m_ledger.settle(ClaimOutcome{m_key, permit.nonce, OutcomeKind::Answered, 200,
                                  std::string(1024, 'x'), ""});
-    pass(seconds(1));
+    advance(seconds(1));
     const ClaimBatch batch = m_ledger.nextBatch(m_at).value();
     EXPECT_TRUE(isWellFormed(batch.front()));
     EXPECT_EQ(std::get<ClaimOutcome>(batch.front()).kind, OutcomeKind::AnswerTooLarge);
@@ -507,31 +509,31 @@
 {
     ClaimRequest each = request(1);
     each.key.customer = CustomerId(std::string(MostNameBytes + 1, 'x'));
-    m_ledger.ask(each, m_at);
-    EXPECT_EQ(std::get<Refusal>(only()).reason, RefusalReason::BadRequest);
+    m_ledger.submit(each, m_at);
+    EXPECT_EQ(std::get<Refusal>(onlyVerdict()).reason, RefusalReason::BadRequest);
     EXPECT_FALSE(m_ledger.nextBatch(m_at).has_value());
 }
 
-TEST(AppendPacer, ALoneAppendNeverWaitsAndABurstIsHeldToTheShare)
+TEST(AppendPacer, ASingleAppendNeverWaitsAndABurstIsLimitedToTheShare)
 {
     AppendPacer pacer;
-    pacer.share(3);
+    pacer.setLiveNodes(3);
     TimePoint now(seconds(1000));
     int taken = 0;
     for (int i = 0; i < 10'000; ++i) {
-        taken += pacer.take(now) ? 1 : 0;
+        taken += pacer.tryTake(now) ? 1 : 0;
         now += milliseconds(1);
     }
     EXPECT_NEAR(taken, 10 * AppendsPerSecond / 3, AppendBurst + 1);
-    while (pacer.take(now)) {
+    while (pacer.tryTake(now)) {
     }
     const TimePoint ready = pacer.readyAt();
     EXPECT_GT(ready, now);
-    EXPECT_FALSE(pacer.take(ready - milliseconds(2)));
-    EXPECT_TRUE(pacer.take(ready));
-    EXPECT_TRUE(pacer.take(now + seconds(1)));
+    EXPECT_FALSE(pacer.tryTake(ready - milliseconds(2)));
+    EXPECT_TRUE(pacer.tryTake(ready));
+    EXPECT_TRUE(pacer.tryTake(now + seconds(1)));
     pacer.failed(now + seconds(1));
-    EXPECT_FALSE(pacer.take(now + seconds(1)));
+    EXPECT_FALSE(pacer.tryTake(now + seconds(1)));
 }
 
 } // namespace
--- a/src/vanilladyke/policy/hot_prefixes.cpp
+++ b/src/vanilladyke/policy/hot_prefixes.cpp
@@ -8,14 +8,14 @@
 
 namespace {
 
-/// Rates are averages over about this long: a shift shows within seconds, one burst does not.
+/// Time constant of the rates: follows a shift within seconds and smooths out a single burst.
 constexpr double MemorySeconds = 5;
-/// A home should be full to this part at most, so that its queue stays short.
+/// Target utilization of a preferred engine, low enough to keep its queue short.
 constexpr double WantedUse = 0.6;
-/// A home is given up only when the others would stay below this part: between the two marks the
-/// number stays as it is, or each change would throw away a warm cache.
+/// A preferred engine is removed only if the others stay below this utilization. The hysteresis
+/// between the two bounds avoids discarding a warm cache on each small change of the rate.
 constexpr double UseAfterLeaving = 0.4;
-constexpr double MostHomes = 4096;
+constexpr double MostPreferredEngines = 4096;
 
 double faded(double work, Duration since)
 {
@@ -24,31 +24,32 @@
 
 } // namespace
 
-std::uint32_t HotPrefixes::note(const ChainHash &prefix, Duration engineTime, std::uint32_t nodes,
-                                TimePoint now)
+std::uint32_t HotPrefixes::countRequest(const ChainHash &prefix, Duration engineTime,
+                                        std::uint32_t nodes, TimePoint now)
 {
     if (m_tracked.size() >= MostTracked && !m_tracked.contains(prefix)) {
-        makeRoom(now);
+        evictLeastUsed(now);
     }
     Tracked &tracked = m_tracked.try_emplace(prefix, Tracked{0, 1, now}).first->second;
     tracked.work = faded(tracked.work, now - tracked.changedAt) + secondsOf(engineTime);
     tracked.changedAt = now;
     const double enginesFull = tracked.work / MemorySeconds * nodes;
-    const double wanted = std::clamp(std::ceil(enginesFull / WantedUse), 1.0, MostHomes);
-    const double least = std::clamp(std::ceil(enginesFull / UseAfterLeaving), 1.0, MostHomes);
-    const auto grown = std::max(tracked.homes, static_cast<std::uint32_t>(wanted));
-    tracked.homes = std::min(grown, static_cast<std::uint32_t>(std::max(least, wanted)));
-    return tracked.homes;
+    const double wanted = std::clamp(std::ceil(enginesFull / WantedUse), 1.0, MostPreferredEngines);
+    const double least =
+            std::clamp(std::ceil(enginesFull / UseAfterLeaving), 1.0, MostPreferredEngines);
+    const auto grown = std::max(tracked.preferredCount, static_cast<std::uint32_t>(wanted));
+    tracked.preferredCount = std::min(grown, static_cast<std::uint32_t>(std::max(least, wanted)));
+    return tracked.preferredCount;
 }
 
-std::uint32_t HotPrefixes::homes(const ChainHash &prefix) const
+std::uint32_t HotPrefixes::preferredCount(const ChainHash &prefix) const
 {
     const auto found = m_tracked.find(prefix);
-    return found == m_tracked.end() ? 1 : found->second.homes;
+    return found == m_tracked.end() ? 1 : found->second.preferredCount;
 }
 
-/// Drops the colder half in one pass, so that the cost per request stays small.
-void HotPrefixes::makeRoom(TimePoint now)
+/// Evicts the less used half in one pass, so that the amortized cost per request stays small.
+void HotPrefixes::evictLeastUsed(TimePoint now)
 {
     std::vector<double> work;
     work.reserve(m_tracked.size());
--- a/src/vanilladyke/policy/placement.cpp
+++ b/src/vanilladyke/policy/placement.cpp
@@ -8,24 +8,24 @@
 
 namespace {
 
-/// Holders of the longest prefixes that are weighed.
+/// Holders of the longest prefixes that become candidates.
 constexpr std::size_t HolderCandidates = 6;
-/// Engines of the rendezvous order that are weighed beyond the homes: where a full home spills.
+/// Candidates from the rendezvous order after the preferred ones: the overflow of a full engine.
 constexpr std::uint32_t SpillCandidates = 2;
-constexpr std::uint32_t MostHomeCandidates = 8;
-/// Two at random find an idle engine nearly as well as all, and keep the number bounded.
+constexpr std::uint32_t MostPreferredCandidates = 8;
+/// Two random choices find an idle engine nearly as well as a full scan, at bounded cost.
 constexpr std::size_t RandomCandidates = 2;
-/// Costs this close are the same as far as lagged reports can tell.
+/// Cost differences within these bounds are below the accuracy of delayed load reports.
 constexpr double NearTieFraction = 0.05;
 constexpr double NearTieSeconds = 0.002;
-/// What another engine must save before a request leaves the one that has most of its prefix.
+/// Saving required before a request moves away from the engine with most of its prefix cached.
 constexpr double StayFraction = 0.10;
 constexpr double StaySeconds = 0.005;
-/// Of the time that the deadline leaves, what the predicted wait for a slot may take; the rest is
-/// for what the prediction misses.
+/// Fraction of the time left before the deadline that the predicted slot wait may use; the rest
+/// covers prediction errors.
 constexpr double SlotWaitPart = 0.5;
 
-/// A least wait of this length adds 1 to the price of recomputing; see docs/DECISIONS.md.
+/// Wait at the least loaded candidate that adds 1 to the recompute weight; see docs/DECISIONS.md.
 constexpr double BusySeconds = 0.1;
 
 double seconds(Duration span)
@@ -38,31 +38,30 @@
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(length));
 }
 
-/// Gathers candidates, each engine once.
+/// Collects candidates, each engine once.
 class Candidates
 {
 public:
-    Candidates(const PlacementRequest &request, const Fleet &fleet,
-               const PlacementKnowledge &knowledge)
+    Candidates(const PlacementRequest &request, const Fleet &fleet, const PlacementInputs &inputs)
         : m_request(request)
         , m_fleet(fleet)
-        , m_survival(knowledge.survival)
+        , m_survival(inputs.survival)
     {}
 
-    /// Adds the engine or, if it is there, beliefs that promise more.
-    void add(std::size_t engine, std::vector<Belief> beliefs)
+    /// Adds the engine. If it is already there, keeps the estimates with more expected tokens.
+    void add(std::size_t engine, std::vector<PrefixEstimate> estimates)
     {
         if (!serves(m_fleet.engines[engine], m_request.model) || excluded(engine)) {
             return;
         }
-        const std::uint32_t expected = expectedTokens(beliefs);
+        const std::uint32_t expected = expectedTokens(estimates);
         const auto found = std::find_if(m_list.begin(), m_list.end(), [&](const Candidate &each) {
             return each.engine == engine;
         });
         Candidate *candidate = found == m_list.end() ? &m_list.emplace_back() : &*found;
         candidate->engine = engine;
-        if (expected > candidate->expectedCachedTokens || candidate->beliefs.empty()) {
-            candidate->beliefs = std::move(beliefs);
+        if (expected > candidate->expectedCachedTokens || candidate->estimates.empty()) {
+            candidate->estimates = std::move(estimates);
             candidate->expectedCachedTokens = expected;
         }
     }
@@ -71,13 +70,13 @@
     [[nodiscard]] std::vector<Candidate> take() { return std::move(m_list); }
 
 private:
-    [[nodiscard]] std::uint32_t expectedTokens(const std::vector<Belief> &beliefs) const
+    [[nodiscard]] std::uint32_t expectedTokens(const std::vector<PrefixEstimate> &estimates) const
     {
         double sum = 0;
-        for (std::size_t i = 0; i < beliefs.size(); ++i) {
-            const std::uint32_t next = i + 1 < beliefs.size() ? beliefs[i + 1].tokens : 0;
-            sum += m_survival.fraction(beliefs[i].evidence, beliefs[i].age)
-                   * (beliefs[i].tokens - next);
+        for (std::size_t i = 0; i < estimates.size(); ++i) {
+            const std::uint32_t next = i + 1 < estimates.size() ? estimates[i + 1].tokens : 0;
+            sum += m_survival.fraction(estimates[i].evidence, estimates[i].age)
+                   * (estimates[i].tokens - next);
         }
         return static_cast<std::uint32_t>(sum);
     }
@@ -94,64 +93,68 @@
     std::vector<Candidate> m_list;
 };
 
-std::vector<Belief> beliefsIn(const PrefixHolder &holder)
+std::vector<PrefixEstimate> estimatesOf(const PrefixHolder &holder)
 {
-    std::vector<Belief> beliefs;
-    beliefs.reserve(holder.lengthCount);
+    std::vector<PrefixEstimate> estimates;
+    estimates.reserve(holder.lengthCount);
     for (std::size_t i = 0; i < holder.lengthCount; ++i) {
-        const KnownLength &length = holder.lengths[i];
-        beliefs.push_back(
-                {length.trusted ? Evidence::Known : Evidence::Doubted, length.age, length.tokens});
+        const CachedLength &length = holder.lengths[i];
+        estimates.push_back({length.trusted ? Evidence::Known : Evidence::Untrusted, length.age,
+                             length.tokens});
     }
-    return beliefs;
+    return estimates;
 }
 
-/// An entry of another incarnation must not count, even if the view has not heard of the new one.
-void addHolders(const Fleet &fleet, const PlacementKnowledge &knowledge, Candidates &candidates)
+/// Adds the holders of the longest prefixes. Ignores entries of another incarnation, even if the
+/// view has not received the new one yet: the restarted engine has lost its cache.
+void addHolders(const Fleet &fleet, const PlacementInputs &inputs, Candidates &candidates)
 {
     std::size_t added = 0;
-    for (const PrefixHolder &holder : knowledge.holders) {
+    for (const PrefixHolder &holder : inputs.holders) {
         const auto position = fleet.index->position(holder.engine);
         if (!position || fleet.engines[*position].incarnation != holder.incarnation) {
             continue;
         }
-        candidates.add(*position, beliefsIn(holder));
+        candidates.add(*position, estimatesOf(holder));
         if (++added == HolderCandidates) {
             return;
         }
     }
 }
 
-/// The homes of the shared prefix, and among them the one of its deepest level: so the prefixes
-/// below a hot one divide its homes among themselves.
-void addHomes(const PlacementRequest &request, const Fleet &fleet, const ModelEngines &engines,
-              const PlacementKnowledge &knowledge, Candidates &candidates)
+/// Adds the preferred engines of the shared prefix. One of them is selected by the deepest shared
+/// level, so that the longer prefixes under a hot one are divided among its preferred engines.
+void addPreferred(const PlacementRequest &request, const Fleet &fleet, const ModelEngines &engines,
+                  const PlacementInputs &inputs, Candidates &candidates)
 {
     const auto levels = sharedLevels(request.chain);
     if (!levels) {
         return;
     }
-    const std::uint32_t homes = std::min(knowledge.homes, MostHomeCandidates);
-    // Where the view knows a holder, its silence about a home means that the home lost the prefix.
-    const auto &holders = knowledge.holders;
-    const bool seen = !holders.empty() && holders.front().longest().tokens >= levels->shared.tokens;
+    const std::uint32_t preferredCount = std::min(inputs.preferredCount, MostPreferredCandidates);
+    // If the view has a holder of the prefix, a preferred engine without an entry has most likely
+    // evicted it.
+    const auto &holders = inputs.holders;
+    const bool hasHolder =
+            !holders.empty() && holders.front().longest().tokens >= levels->shared.tokens;
     const std::vector<std::uint32_t> order =
-            rendezvousOrder(engines, levels->shared.hash, homes + SpillCandidates);
-    const std::size_t count = std::min<std::size_t>(homes, order.size());
+            rendezvousOrder(engines, levels->shared.hash, preferredCount + SpillCandidates);
+    const std::size_t count = std::min<std::size_t>(preferredCount, order.size());
     const auto scoreOf = [&](std::uint32_t engine) {
         const auto key = static_cast<std::uint64_t>(fleet.engines[engine].key);
         return mixBits(levels->deepest.hash.low ^ key);
     };
-    const auto own = std::max_element(
+    const auto preferredOwner = std::max_element(
             order.begin(), order.begin() + static_cast<std::ptrdiff_t>(count),
             [&](std::uint32_t a, std::uint32_t b) { return scoreOf(a) < scoreOf(b); });
     for (std::size_t i = 0; i < order.size(); ++i) {
-        if (order.begin() + static_cast<std::ptrdiff_t>(i) == own) {
-            candidates.add(order[i], {{seen ? Evidence::ColdHome : Evidence::Home, Duration::zero(),
-                                       levels->deepest.tokens}});
+        if (order.begin() + static_cast<std::ptrdiff_t>(i) == preferredOwner) {
+            candidates.add(order[i], {{hasHolder ? Evidence::PreferredCold : Evidence::Preferred,
+                                       Duration::zero(), levels->deepest.tokens}});
         } else if (i < count) {
-            candidates.add(order[i], {{seen ? Evidence::ColdHome : Evidence::SharedHome,
-                                       Duration::zero(), levels->shared.tokens}});
+            candidates.add(order[i],
+                           {{hasHolder ? Evidence::PreferredCold : Evidence::PreferredShared,
+                             Duration::zero(), levels->shared.tokens}});
         } else {
             candidates.add(order[i], {});
         }
@@ -166,8 +169,8 @@
     }
 }
 
-/// When most engines are excluded, the few candidates may all be among them while another engine is
-/// free; a request must not be refused for that. Rare, so that its cost of O(engines) is no matter.
+/// Adds all engines; O(engines). Used only if every regular candidate is excluded, so that a
+/// request is not refused while another engine is available.
 void addAll(const ModelEngines &engines, Candidates &candidates)
 {
     for (const RendezvousMember &member : engines.members) {
@@ -175,7 +178,7 @@
     }
 }
 
-/// The prefill, or the import of what the store has where that is sooner.
+/// Predicts the prefill time, with an import from the kept-cache store where that is faster.
 void predictPrefill(Candidate &candidate, const PlacementRequest &request, const KeptPrefix &kept,
                     double tokensPerSecond)
 {
@@ -194,8 +197,8 @@
     candidate.prefill = spanOf(length);
 }
 
-void weigh(std::vector<Candidate> &candidates, const PlacementRequest &request, const Fleet &fleet,
-           const PlacementKnowledge &knowledge, TimePoint now)
+void predictCosts(std::vector<Candidate> &candidates, const PlacementRequest &request,
+                  const Fleet &fleet, const PlacementInputs &inputs, TimePoint now)
 {
     std::uint32_t most = 0;
     for (const Candidate &candidate : candidates) {
@@ -204,24 +207,24 @@
     Duration leastWait = Duration::max();
     for (Candidate &candidate : candidates) {
         const PredictedWait wait =
-                predictedWait(fleet.engines[candidate.engine], knowledge.inFlight, knowledge.slots,
+                predictedWait(fleet.engines[candidate.engine], inputs.inFlight, inputs.slots,
                               fleet.liveNodes, request.answerTokens, now);
         candidate.wait = wait.longest();
         candidate.slotWait = wait.slot;
         leastWait = std::min(leastWait, candidate.wait);
     }
     const Objective objective = fleet.bundle ? fleet.bundle->objective : Objective{};
-    const double recomputePrice = priceOfRecomputing(objective, leastWait);
+    const double recomputeWeight = effectiveRecomputeWeight(objective, leastWait);
     for (Candidate &candidate : candidates) {
         const EngineView &engine = fleet.engines[candidate.engine];
         const double rate = engine.load.prefillTokensPerSecond;
-        predictPrefill(candidate, request, knowledge.kept, rate);
+        predictPrefill(candidate, request, inputs.kept, rate);
         const Duration left = request.firstTokenDeadline - now - candidate.prefill;
         candidate.isLate = seconds(candidate.slotWait) > SlotWaitPart * seconds(left);
         const std::uint32_t here = candidate.expectedCachedTokens + candidate.importedTokens;
         candidate.recomputedTokens = most > here ? most - here : 0;
         candidate.cost = objective.tailWeight * seconds(candidate.wait) + seconds(candidate.prefill)
-                         + recomputePrice * candidate.recomputedTokens / rate;
+                         + recomputeWeight * candidate.recomputedTokens / rate;
     }
 }
 
@@ -230,15 +233,15 @@
     return a.cost < b.cost;
 }
 
-bool near(const Candidate &candidate, const Candidate &best)
+bool isNearTie(const Candidate &candidate, const Candidate &best)
 {
     return candidate.cost <= best.cost * (1 + NearTieFraction) + NearTieSeconds
            && candidate.expectedCachedTokens >= best.expectedCachedTokens;
 }
 
-/// Whom the request may go to: all, unless the cheapest most likely has no slot in time. Then only
-/// those that have one, and that compute the prefix without making others wait or need not compute
-/// it; otherwise a fleet at its limit spends its time on computing prefixes everywhere.
+/// Candidates that may be selected: all, unless the cheapest one is unlikely to have a slot in
+/// time. Then only candidates with a timely slot that have no queue or have the prefix cached;
+/// otherwise a saturated fleet would spend its capacity on recomputing prefixes on every engine.
 std::vector<Candidate> eligible(const std::vector<Candidate> &candidates, const Candidate &cheapest)
 {
     if (!cheapest.isLate) {
@@ -254,7 +257,7 @@
     return result.empty() ? candidates : result;
 }
 
-void choose(Placement &placement, Random &random)
+void selectWinner(Placement &placement, Random &random)
 {
     const Candidate cheapest =
             *std::min_element(placement.candidates.begin(), placement.candidates.end(), cheaper);
@@ -272,7 +275,7 @@
     }
     std::vector<const Candidate *> ties;
     for (const Candidate &candidate : all) {
-        if (near(candidate, best)) {
+        if (isNearTie(candidate, best)) {
             ties.push_back(&candidate);
         }
     }
@@ -304,20 +307,20 @@
     return wait;
 }
 
-double priceOfRecomputing(const Objective &objective, Duration leastWait)
+double effectiveRecomputeWeight(const Objective &objective, Duration leastWait)
 {
     return objective.recomputeWeight + seconds(leastWait) / BusySeconds;
 }
 
-Placement place(const PlacementRequest &request, const Fleet &fleet,
-                const PlacementKnowledge &knowledge, TimePoint now, Random &random)
+Placement place(const PlacementRequest &request, const Fleet &fleet, const PlacementInputs &inputs,
+                TimePoint now, Random &random)
 {
     Placement placement;
     const ModelEngines *engines = fleet.index ? fleet.index->serving(request.model) : nullptr;
     if (engines != nullptr) {
-        Candidates candidates(request, fleet, knowledge);
-        addHolders(fleet, knowledge, candidates);
-        addHomes(request, fleet, *engines, knowledge, candidates);
+        Candidates candidates(request, fleet, inputs);
+        addHolders(fleet, inputs, candidates);
+        addPreferred(request, fleet, *engines, inputs, candidates);
         addRandom(*engines, random, candidates);
         if (candidates.empty()) {
             addAll(*engines, candidates);
@@ -328,8 +331,8 @@
         placement.reason = "no_engine";
         return placement;
     }
-    weigh(placement.candidates, request, fleet, knowledge, now);
-    choose(placement, random);
+    predictCosts(placement.candidates, request, fleet, inputs, now);
+    selectWinner(placement, random);
     return placement;
 }
 
--- a/src/vanilladyke/policy/placement_policy.cpp
+++ b/src/vanilladyke/policy/placement_policy.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-/// The part of an engine that one request takes: its new tokens, or its slot if that is more.
+/// Engine time used by one request: the prefill of its uncached tokens or, if larger, its share of
+/// the slots during decode.
 Duration engineTime(const PlacementRequest &request, std::uint32_t sharedTokens,
                     const EngineView &engine)
 {
@@ -24,16 +25,17 @@
                                   std::span<const PrefixHolder> holders, const KeptPrefix &kept,
                                   TimePoint now, Random &random)
 {
-    std::uint32_t homes = 1;
+    std::uint32_t preferredCount = 1;
     const auto levels = sharedLevels(request.chain);
     const ModelEngines *engines = fleet.index ? fleet.index->serving(request.model) : nullptr;
     if (levels && engines != nullptr) {
         const EngineView &any = fleet.engines[engines->members.front().engine];
-        homes = m_hot.note(levels->shared.hash, engineTime(request, levels->deepest.tokens, any),
-                           fleet.liveNodes, now);
+        preferredCount = m_hot.countRequest(levels->shared.hash,
+                                            engineTime(request, levels->deepest.tokens, any),
+                                            fleet.liveNodes, now);
     }
-    const PlacementKnowledge knowledge{holders, m_survival, m_inFlight, m_slots, homes, kept};
-    return place(request, fleet, knowledge, now, random);
+    const PlacementInputs inputs{holders, m_survival, m_inFlight, m_slots, preferredCount, kept};
+    return place(request, fleet, inputs, now, random);
 }
 
 Placement PlacementPolicy::forecast(const PlacementRequest &request, const Fleet &fleet,
@@ -41,9 +43,9 @@
                                     TimePoint now, Random &random) const
 {
     const auto levels = sharedLevels(request.chain);
-    const std::uint32_t homes = levels ? m_hot.homes(levels->shared.hash) : 1;
-    const PlacementKnowledge knowledge{holders, m_survival, m_inFlight, m_slots, homes, kept};
-    return place(request, fleet, knowledge, now, random);
+    const std::uint32_t preferredCount = levels ? m_hot.preferredCount(levels->shared.hash) : 1;
+    const PlacementInputs inputs{holders, m_survival, m_inFlight, m_slots, preferredCount, kept};
+    return place(request, fleet, inputs, now, random);
 }
 
 PlacedRequest PlacementPolicy::sent(const PlacementRequest &request, const Fleet &fleet,
@@ -75,10 +77,10 @@
 
 void PlacementPolicy::learn(const PlacedRequest &placed, std::uint32_t cachedTokens)
 {
-    const std::vector<Belief> &beliefs = placed.chosen.beliefs;
-    for (std::size_t i = 0; i < beliefs.size(); ++i) {
-        const std::uint32_t next = i + 1 < beliefs.size() ? beliefs[i + 1].tokens : 0;
-        m_survival.learn(beliefs[i].evidence, beliefs[i].age, beliefs[i].tokens - next,
+    const std::vector<PrefixEstimate> &estimates = placed.chosen.estimates;
+    for (std::size_t i = 0; i < estimates.size(); ++i) {
+        const std::uint32_t next = i + 1 < estimates.size() ? estimates[i + 1].tokens : 0;
+        m_survival.learn(estimates[i].evidence, estimates[i].age, estimates[i].tokens - next,
                          cachedTokens > next ? cachedTokens - next : 0);
     }
 }
--- a/src/vanilladyke/policy/placement_test.cpp
+++ b/src/vanilladyke/policy/placement_test.cpp
@@ -15,7 +15,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr std::uint32_t GuideTokens = 6000;
+constexpr std::uint32_t SharedTokens = 6000;
 constexpr Incarnation First{1};
 
 Fleet fleetOf(std::size_t engines)
@@ -36,22 +36,22 @@
     return fleet;
 }
 
-/// A guide that others share and a question of its own.
-PlacementRequest requestFor(std::uint64_t guide, std::uint64_t question)
+/// A request with a shared prefix and a message of its own.
+PlacementRequest requestFor(std::uint64_t prefix, std::uint64_t message)
 {
     PlacementRequest request;
     request.customer = CustomerId("brand");
     request.model = ModelId("copy");
-    request.chain = {{{mixBits(guide), mixBits(guide + 7)}, GuideTokens, true},
-                     {{mixBits(question), mixBits(question + 9)}, GuideTokens + 200, true}};
-    request.promptTokens = GuideTokens + 200;
+    request.chain = {{{mixBits(prefix), mixBits(prefix + 7)}, SharedTokens, true},
+                     {{mixBits(message), mixBits(message + 9)}, SharedTokens + 200, true}};
+    request.promptTokens = SharedTokens + 200;
     request.answerTokens = 200;
     return request;
 }
 
 std::vector<PrefixHolder> holderOf(const EngineView &engine, std::uint32_t tokens)
 {
-    return {{engine.key, engine.incarnation, {KnownLength{tokens, seconds(1), true}}, 1}};
+    return {{engine.key, engine.incarnation, {CachedLength{tokens, seconds(1), true}}, 1}};
 }
 
 TEST(Placement, GoesToTheHolderWhenQueuesAreShort)
@@ -60,22 +60,22 @@
     Random random(1);
     PlacementPolicy policy;
     const auto placement = policy.decide(requestFor(1, 2), fleet,
-                                         holderOf(fleet.engines[5], GuideTokens), {}, {}, random);
+                                         holderOf(fleet.engines[5], SharedTokens), {}, {}, random);
     ASSERT_TRUE(placement.winner.has_value());
     EXPECT_EQ(placement.winner->engine, 5U);
-    EXPECT_GT(placement.winner->expectedCachedTokens, GuideTokens * 9 / 10);
+    EXPECT_GT(placement.winner->expectedCachedTokens, SharedTokens * 9 / 10);
 }
 
-// The engine that has the guide is slow and a queue has grown there. A caller that is sent to it
-// all the same waits for seconds, though any other engine would have computed the guide sooner.
-TEST(Placement, LeavesAHolderWhoseQueueCostsMoreThanTheGuide)
+// Guards against prefix affinity that ignores load: the holder has a prefill backlog of seconds,
+// while any other engine would prefill the shared prefix sooner.
+TEST(Placement, LeavesAHolderWhoseQueueCostsMoreThanThePrefix)
 {
     Fleet fleet = fleetOf(12);
     fleet.engines[5].load.queuedPrefillTokens = 60'000;
     Random random(1);
     PlacementPolicy policy;
     const auto placement = policy.decide(requestFor(1, 2), fleet,
-                                         holderOf(fleet.engines[5], GuideTokens), {}, {}, random);
+                                         holderOf(fleet.engines[5], SharedTokens), {}, {}, random);
     EXPECT_NE(placement.winner->engine, 5U);
 }
 
@@ -84,8 +84,8 @@
     const Fleet fleet = fleetOf(12);
     Random random(1);
     PlacementPolicy policy;
-    const KeptPrefix fast{GuideTokens, milliseconds(20), 100'000};
-    const KeptPrefix slow{GuideTokens, milliseconds(20), 1000};
+    const KeptPrefix fast{SharedTokens, milliseconds(20), 100'000};
+    const KeptPrefix slow{SharedTokens, milliseconds(20), 1000};
     const auto imported = policy.decide(requestFor(1, 2), fleet, {}, fast, {}, random);
     EXPECT_GT(imported.winner->importedTokens, 0U);
     EXPECT_LT(imported.winner->prefill, milliseconds(200));
@@ -93,26 +93,26 @@
     EXPECT_EQ(computed.winner->importedTokens, 0U);
 }
 
-// A node is replaced and starts with an empty view while the others go on. If it chose by load, the
-// guide would be computed again on one engine after the other, and its callers would wait for it.
-TEST(Placement, ARestartedNodeSendsAGuideWhereTheOthersDo)
+// Guards against placement by load alone on a restarted node, whose cache view is empty: it would
+// have a shared prefix recomputed on engines that do not have it.
+TEST(Placement, ARestartedNodePlacesAPrefixLikeTheOthers)
 {
     const Fleet fleet = fleetOf(18);
-    for (std::uint64_t guide = 1; guide <= 50; ++guide) {
-        Random random(guide);
-        Random other(guide + 1000);
+    for (std::uint64_t prefix = 1; prefix <= 50; ++prefix) {
+        Random random(prefix);
+        Random other(prefix + 1000);
         PlacementPolicy old;
         PlacementPolicy restarted;
-        const auto before = old.decide(requestFor(guide, 1), fleet, {}, {}, {}, random);
-        const auto after = restarted.decide(requestFor(guide, 2), fleet, {}, {}, {}, other);
+        const auto before = old.decide(requestFor(prefix, 1), fleet, {}, {}, {}, random);
+        const auto after = restarted.decide(requestFor(prefix, 2), fleet, {}, {}, {}, other);
         EXPECT_EQ(before.winner->engine, after.winner->engine);
     }
 }
 
-// Nine nodes read the same report, in which one engine is idle and the others have a short queue,
-// and each gets two prompts before the next report. If all of them chose the idle engine, their
-// callers would queue behind each other there.
-TEST(Placement, NineNodesDoNotAllRunToTheEngineThatWasIdle)
+// Guards against herding: nine nodes have the same load report, in which one engine is idle and the
+// others have a short queue, and each node places two prompts before the next report. If all chose
+// the idle engine, the requests would queue there.
+TEST(Placement, NineNodesDoNotAllChooseTheIdleEngine)
 {
     Fleet fleet = fleetOf(12);
     fleet.liveNodes = 9;
@@ -136,8 +136,8 @@
     }
 }
 
-// A burst arrives at one node between two reports. Without its own count the node would send all of
-// it to the engine that was idle when it reported.
+// Guards against placing a burst from a stale report: without counting its own requests, a node
+// would send all of the burst to the engine that was idle in the last report.
 TEST(Placement, ABurstBetweenTwoReportsIsSpread)
 {
     Fleet fleet = fleetOf(12);
@@ -175,23 +175,23 @@
     EXPECT_EQ(none.reason, "no_engine");
 }
 
-// The fleet is nearly full: of 100 engines all but one are closed to this node, and none of the few
-// that are looked at first is the open one. A caller must not be refused while an engine is free.
-TEST(Placement, TheOnlyOpenEngineIsFound)
+// Guards against refusing a request while an engine is available: all but one of 100 engines are
+// excluded, and the regular candidates do not contain the remaining one.
+TEST(Placement, TheOnlyAvailableEngineIsFound)
 {
     const Fleet fleet = fleetOf(100);
     Random random(1);
     PlacementPolicy policy;
-    for (std::size_t open = 0; open < fleet.engines.size(); ++open) {
+    for (std::size_t available = 0; available < fleet.engines.size(); ++available) {
         PlacementRequest request = requestFor(1, 2);
         for (std::size_t i = 0; i < fleet.engines.size(); ++i) {
-            if (i != open) {
+            if (i != available) {
                 request.excluded.push_back(fleet.engines[i].id);
             }
         }
         const auto placement = policy.decide(request, fleet, {}, {}, {}, random);
         ASSERT_TRUE(placement.winner.has_value());
-        EXPECT_EQ(placement.winner->engine, open);
+        EXPECT_EQ(placement.winner->engine, available);
     }
 }
 
@@ -206,28 +206,28 @@
     }
 }
 
-// An engine has died and come back between the news that a holder rests on and the decision. The
-// prefix must not be expected there, or the caller waits for work that nobody has.
+// Guards against using cache entries of an engine that has restarted since: its cache is empty, so
+// the request would wait for a full prefill that the prediction left out.
 RC_GTEST_PROP(Placement, NeverCountsAnotherIncarnation, (std::uint64_t seed))
 {
     Fleet fleet = fleetOf(6);
     Random random(seed);
     const std::size_t engine = uniformBelow(random, fleet.engines.size());
-    const auto holders = holderOf(fleet.engines[engine], GuideTokens);
+    const auto holders = holderOf(fleet.engines[engine], SharedTokens);
     fleet.engines[engine].incarnation = Incarnation{2 + uniformBelow(random, 1000)};
     PlacementPolicy policy;
     const auto placement =
             policy.decide(requestFor(random(), random()), fleet, holders, {}, {}, random);
     for (const Candidate &candidate : placement.candidates) {
-        for (const Belief &belief : candidate.beliefs) {
-            RC_ASSERT(belief.evidence != Evidence::Known);
-            RC_ASSERT(belief.evidence != Evidence::Doubted);
+        for (const PrefixEstimate &estimate : candidate.estimates) {
+            RC_ASSERT(estimate.evidence != Evidence::Known);
+            RC_ASSERT(estimate.evidence != Evidence::Untrusted);
         }
     }
 }
 
-// Two customers send the very same text, and so does one customer after new weights. What is cached
-// for the one must never be expected for the other.
+// Guards against sharing cache entries across customers or weights versions: identical text of
+// another customer, or under other weights, must not match.
 RC_GTEST_PROP(Placement, NeverCountsAnotherCustomersOrOlderWeightsEntries,
               (const std::string &text))
 {
@@ -247,18 +247,18 @@
     RC_ASSERT(view.holders(chainFor("brand", "w2"), {}).empty());
 }
 
-TEST(Explain, TellsCandidatesCostsWinnerAndWhy)
+TEST(Explain, ShowsCandidatesCostsWinnerAndReason)
 {
     const Fleet fleet = fleetOf(12);
     Random random(1);
     PlacementPolicy policy;
     const auto placement = policy.decide(requestFor(1, 2), fleet,
-                                         holderOf(fleet.engines[5], GuideTokens), {}, {}, random);
-    const std::string text = explainText(GuideTokens + 200, fleet, placement);
+                                         holderOf(fleet.engines[5], SharedTokens), {}, {}, random);
+    const std::string text = explainText(SharedTokens + 200, fleet, placement);
     EXPECT_NE(text.find("engine-5 (least_cost): its predicted cost is the least"),
               std::string::npos)
             << text;
-    const auto fields = explainFields(GuideTokens + 200, fleet, placement);
+    const auto fields = explainFields(SharedTokens + 200, fleet, placement);
     ASSERT_GE(fields.size(), 9U);
     EXPECT_EQ(fields[3].key, "engine");
     EXPECT_EQ(fields[3].value, "engine-5");
--- a/src/vanilladyke/policy/rendezvous_test.cpp
+++ b/src/vanilladyke/policy/rendezvous_test.cpp
@@ -32,23 +32,23 @@
     return rendezvousOrder(*index.serving(ModelId("copy")), hash, 3);
 }
 
-TEST(Rendezvous, GivesEachEngineAboutTheSameShareOfHomes)
+TEST(Rendezvous, EachEngineIsPreferredForAboutTheSameShareOfPrefixes)
 {
     const std::vector<EngineView> engines = enginesOf(18);
     const FleetIndex index(engines);
-    std::map<std::uint32_t, int> homes;
+    std::map<std::uint32_t, int> preferredCounts;
     for (std::uint64_t i = 0; i < 18'000; ++i) {
-        ++homes[rendezvousOrder(*index.serving(ModelId("copy")), hashOf(i), 1).front()];
+        ++preferredCounts[rendezvousOrder(*index.serving(ModelId("copy")), hashOf(i), 1).front()];
     }
-    ASSERT_EQ(homes.size(), 18U);
-    for (const auto &[engine, count] : homes) {
+    ASSERT_EQ(preferredCounts.size(), 18U);
+    for (const auto &[engine, count] : preferredCounts) {
         EXPECT_GT(count, 800) << engine;
         EXPECT_LT(count, 1200) << engine;
     }
 }
 
-// One of 18 engines dies. Only the prefixes that lived there may move: callers of all others must
-// not notice, or each loss of an engine would cool every cache.
+// Guards against a full reshuffle when an engine fails: only the prefixes of the failed engine may
+// move, or each loss of an engine would invalidate every cache.
 TEST(Rendezvous, ALostEngineMovesOnlyItsOwnPrefixes)
 {
     const std::vector<EngineView> all = enginesOf(18);
@@ -78,7 +78,7 @@
     }
 }
 
-TEST(SharedLevels, AreTheLongestMessageAndTheLastBeforeTheQuestion)
+TEST(SharedLevels, AreTheLongestMessageAndTheOneBeforeTheLast)
 {
     const PrefixChain chain{{hashOf(1), 500, true},
                             {hashOf(2), 1000, false},
--- a/src/vanilladyke/policy/survival.cpp
+++ b/src/vanilladyke/policy/survival.cpp
@@ -7,12 +7,13 @@
 
 namespace {
 
-/// The first age class ends here; each further one is twice as wide.
+/// Upper bound of the first age class; each further bound is twice the previous one.
 constexpr Duration FirstClass = std::chrono::milliseconds(125);
 constexpr double HalfLifeSeconds = 20;
-/// Answers that the prior counts for: few, so that it gives way within a second of traffic.
+/// Weight of the prior in answers: low, so that measurements outweigh it within a second of
+/// traffic.
 constexpr double PriorWeight = 4;
-/// Kept of a cell with each new answer: about the last 100 answers count.
+/// Decay factor of a cell per answer: a window of about the last 100 answers.
 constexpr double Fading = 0.99;
 
 double prior(Evidence evidence, Duration age)
@@ -22,12 +23,12 @@
         return 0;
     case Evidence::Known:
         return std::exp2(-std::chrono::duration<double>(age).count() / HalfLifeSeconds);
-    case Evidence::Doubted:
+    case Evidence::Untrusted:
         return std::exp2(-std::chrono::duration<double>(age).count() / HalfLifeSeconds) / 2;
-    case Evidence::Home:
-    case Evidence::SharedHome:
+    case Evidence::Preferred:
+    case Evidence::PreferredShared:
         return 0.5;
-    case Evidence::ColdHome:
+    case Evidence::PreferredCold:
         return 0.1;
     }
     return 0;
@@ -51,13 +52,13 @@
     return sum / (cell.weight + PriorWeight);
 }
 
-void Survival::learn(Evidence evidence, Duration age, std::uint32_t believed, std::uint32_t cached)
+void Survival::learn(Evidence evidence, Duration age, std::uint32_t assumed, std::uint32_t cached)
 {
-    if (evidence == Evidence::None || believed == 0) {
+    if (evidence == Evidence::None || assumed == 0) {
         return;
     }
     Cell &cell = m_cells[static_cast<std::size_t>(evidence)][classOf(age)];
-    const double fraction = std::min(1.0, static_cast<double>(cached) / believed);
+    const double fraction = std::min(1.0, static_cast<double>(cached) / assumed);
     cell.fractions = cell.fractions * Fading + fraction;
     cell.weight = cell.weight * Fading + 1;
 }
@@ -69,13 +70,13 @@
         return "none";
     case Evidence::Known:
         return "known";
-    case Evidence::Doubted:
+    case Evidence::Untrusted:
         return "doubted";
-    case Evidence::Home:
+    case Evidence::Preferred:
         return "home";
-    case Evidence::SharedHome:
+    case Evidence::PreferredShared:
         return "shared_home";
-    case Evidence::ColdHome:
+    case Evidence::PreferredCold:
         return "cold_home";
     }
     return "none";
