--- a/include/vanilladyke/policy/request_quarantine.hpp
+++ b/include/vanilladyke/policy/request_quarantine.hpp
@@ -9,38 +9,42 @@
 #include <unordered_set>
 #include <vector>
 
-/// Which requests are sent to no engine any more, since engines end when they run them.
+/// Quarantine of requests that repeatedly coincide with engine termination. A quarantined request
+/// is not sent to any engine.
 ///
-/// Load pattern: a request ends every engine that begins to run it, and its caller sends it again,
-/// to any node. Each copy takes an engine, or two where it is sent again, with all that runs there;
-/// within a second a small fleet is gone, and again as soon as its engines are back. Nodes
-/// therefore tell each other under which requests an engine ended, and add up what they hear.
+/// Load pattern: a request terminates every engine that starts to run it, and its caller retries at
+/// any node. Each copy takes down an engine (two if the node retries it) together with everything
+/// that runs there, so a small fleet is lost within a second and again as soon as its engines are
+/// back. Nodes therefore exchange the engine terminations that they have seen under each request
+/// and combine them.
 ///
-/// Innocent requests end with the engine that they shared with such a one. What tells them apart:
-/// - Two engines must have ended under a request that they had just begun or not begun yet; among
-///   longer runs three must have. One crash, one rack or one spot notice is one end for a request.
-/// - A whole answer to the same work takes back all that was held against it before.
-/// - An engine that answers anything later had not ended.
+/// Requests that merely shared the engine are affected by the termination too. They are told apart
+/// by these rules:
+/// - Two engines must have terminated under a request that had just started or had not started yet;
+///   three if the runs were longer. One crash, one rack failure or one spot termination notice
+///   counts once for a request.
+/// - A complete answer to the same work discards all earlier evidence against it.
+/// - An engine that answers anything later had not terminated.
 ///
-/// After HoldTime a request is let through again, at one node first: nodes wait for a part of
-/// ReleaseSpread that differs between them. If it ends an engine again, the others hear of it
-/// before they let it through.
+/// After HoldTime a request is admitted again, by one node first: each node waits for a different
+/// part of ReleaseSpread. If the request terminates an engine again, the other nodes receive the
+/// update before they admit it.
 ///
-/// What is known spreads without anybody in charge: an end is told Repeats times by the node that
-/// saw it, and from then on all nodes together repeat RefreshPerSecond requests a second, drawn at
-/// random, so that a node that was cut off or has just started knows them soon. Bounded: a customer
-/// who sends ever new ones pushes out only its own.
+/// Updates spread without a coordinator. The node that saw a termination sends it Repeats times;
+/// afterwards all nodes together resend RefreshPerSecond randomly drawn requests per second, so
+/// that a node that was partitioned or has just started catches up soon. Memory is bounded: a
+/// customer that keeps sending new requests evicts only its own.
 namespace vanilladyke {
 
-/// @brief An engine that ended under a request.
+/// @brief Termination of an engine while it held a request.
 struct EngineEnd
 {
-    std::uint64_t engine = 0; ///< hash of its id; a restart has another id
+    std::uint64_t engine = 0; ///< hash of the engine id, which changes with a restart
     TimePoint at;
-    bool hadJustBegun = false; ///< the request waited there or had begun within JustBegun
+    bool hadJustBegun = false; ///< the request was queued there or had started within JustBegun
 };
 
-/// @brief What nodes tell each other of one request.
+/// @brief State of one request as exchanged between nodes.
 struct QuarantineNews
 {
     struct End
@@ -52,11 +56,11 @@
 
     WorkDigest digest;
     std::uint64_t customer = 0;          ///< hash of its id
-    std::optional<Duration> answeredAge; ///< since the last whole answer
+    std::optional<Duration> answeredAge; ///< time since the last complete answer
     std::vector<End> ends;
 };
 
-/// @brief What one node knows. Pure.
+/// @brief The quarantine state of one node. Pure: no I/O, no clock.
 class RequestQuarantine
 {
 public:
@@ -65,59 +69,62 @@
     static constexpr int EndsInAll = 3;
     static constexpr Duration HoldTime = std::chrono::minutes(10);
     static constexpr Duration ReleaseSpread = std::chrono::minutes(2);
-    /// Without anything new a request is forgotten.
+    /// A request without updates for this long is dropped.
     static constexpr Duration Memory = std::chrono::hours(1);
     static constexpr std::size_t MostRequests = 4096;
     static constexpr std::size_t MostOfCustomer = 256;
     static constexpr int Repeats = 3;
-    static constexpr double RefreshPerSecond = 10; ///< of all nodes together
-    /// Ends under requests that are not held matter to others for as long as copies may follow
-    /// soon.
+    static constexpr double RefreshPerSecond = 10; ///< requests, summed over all nodes
+    /// Terminations under a request that is not quarantined are resent for this long: while further
+    /// copies are likely to follow.
     static constexpr Duration RefreshFor = std::chrono::seconds(20);
 
-    /// What an engine answered before it ended is read a little later at a slow node.
+    /// A slow node may read an answer this long after the engine that wrote it has terminated.
     static constexpr Duration LateAnswers = std::chrono::seconds(1);
 
-    /// @param self hash of the node's name: differs between nodes
+    /// @param self hash of the node's name; makes release times differ between nodes
     explicit RequestQuarantine(std::uint64_t self = 0)
         : m_self(self)
     {}
 
-    /// @brief Whether anything is held against requests of the customer: without, no digest is
-    /// needed.
+    /// @brief Whether there is evidence against any request of the customer. If not, no digest
+    /// needs to be computed.
     [[nodiscard]] bool concerns(std::uint64_t customer) const
     {
         return m_byCustomer.contains(customer);
     }
-    /// @brief Until when the request is sent to no engine; none if it may be sent.
+    /// @brief When the quarantine of the request ends; none if the request may be sent.
     [[nodiscard]] std::optional<TimePoint> heldUntil(const WorkDigest &digest, TimePoint now) const;
 
-    /// @brief This node saw an engine end under the request.
-    /// @return whether the request is held from now on, and was not before
+    /// @brief Records that this node saw an engine terminate under the request.
+    /// @return whether this put the request into quarantine
     bool ended(const WorkDigest &digest, std::uint64_t customer, const EngineEnd &end);
-    /// @brief An engine answered the request whole. @return whether anything was held against it
+    /// @brief Records a complete answer to the request. @return whether there was evidence against
+    /// it
     bool answered(const WorkDigest &digest, TimePoint now);
-    /// @brief The engine answered. If it was believed to have ended before LateAnswers, it had not.
+    /// @brief Records an answer of the engine. Drops terminations recorded for it more than
+    /// LateAnswers ago.
     void engineLives(std::uint64_t engine, TimePoint now);
-    /// @brief Requests that an operator let go; nothing is held against them from now on.
+    /// @brief Sets the requests that an operator exempted; they are not quarantined from now on.
     void setFreed(std::vector<WorkDigest> freed);
 
-    /// @brief What another node told. @return requests that are held from now on
+    /// @brief Applies another node's updates. @return requests that this put into quarantine
     std::vector<WorkDigest> heard(const std::vector<QuarantineNews> &news, TimePoint now);
-    /// @brief Whether there are ends that were not told yet.
+    /// @brief Whether there are updates that were not sent yet.
     [[nodiscard]] bool hasNews() const { return m_hasNews; }
-    /// @param nodes all that tell, with this one
-    /// @param most requests in one telling
+    /// @brief Collects the updates for the next message to the other nodes.
+    /// @param nodes nodes that send updates, this one included
+    /// @param most maximum number of requests in one message
     [[nodiscard]] std::vector<QuarantineNews> toTell(std::size_t nodes, std::size_t most,
                                                      TimePoint now, Random &random);
 
     [[nodiscard]] std::size_t size() const { return m_requests.size(); }
     [[nodiscard]] std::size_t held(TimePoint now) const;
-    /// @brief Engines that are known to have ended under the request.
+    /// @brief Number of engines recorded as terminated under the request.
     [[nodiscard]] std::size_t endsUnder(const WorkDigest &digest) const;
 
 private:
-    /// Older ends decide nothing more.
+    /// Older terminations do not affect the decision.
     static constexpr std::size_t MostEnds = 4;
 
     struct Request
@@ -126,32 +133,32 @@
         std::vector<EngineEnd> ends;
         std::optional<TimePoint> answeredAt;
         TimePoint changedAt;
-        int tellsLeft = 0;
+        int sendsLeft = 0;
     };
     using Requests = std::unordered_map<WorkDigest, Request>;
 
-    [[nodiscard]] static bool isBeyondChance(const Request &request);
+    [[nodiscard]] static bool hasEnoughEvidence(const Request &request);
     [[nodiscard]] std::optional<TimePoint> heldUntil(const WorkDigest &digest,
                                                      const Request &request, TimePoint now) const;
     [[nodiscard]] bool isFreed(const WorkDigest &digest) const;
-    /// @return whether the end is news
+    /// @return whether the termination was not recorded before
     bool add(Request &request, const EngineEnd &end);
-    static void takeBack(Request &request, TimePoint answeredAt);
+    static void discardEvidence(Request &request, TimePoint answeredAt);
     Request &requestFor(const WorkDigest &digest, std::uint64_t customer, TimePoint now);
-    /// Makes room for a request of the customer.
-    void makeRoom(std::uint64_t customer, TimePoint now);
+    /// Evicts a request if there is no room for another one of the customer.
+    void evictIfFull(std::uint64_t customer, TimePoint now);
     void erase(Requests::iterator request);
-    void forgetOld(TimePoint now);
-    [[nodiscard]] static QuarantineNews newsOf(const WorkDigest &digest, const Request &request,
-                                               TimePoint now);
+    void pruneExpired(TimePoint now);
+    [[nodiscard]] static QuarantineNews updateOf(const WorkDigest &digest, const Request &request,
+                                                 TimePoint now);
 
     std::uint64_t m_self;
     Requests m_requests;
     std::unordered_map<std::uint64_t, std::size_t> m_byCustomer;
-    std::unordered_set<std::uint64_t> m_endedEngines; ///< that requests may name
+    std::unordered_set<std::uint64_t> m_endedEngines; ///< named by recorded ends
     std::vector<WorkDigest> m_freed;
-    std::optional<TimePoint> m_toldAt;
-    TimePoint m_forgottenAt;
+    std::optional<TimePoint> m_sentAt;
+    TimePoint m_prunedAt;
     bool m_hasNews = false;
 };
 
--- a/src/vanilladyke/policy/request_quarantine.cpp
+++ b/src/vanilladyke/policy/request_quarantine.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-/// Requests that nothing was heard of for long are looked for this often.
-constexpr Duration ForgetEvery = std::chrono::seconds(10);
+/// Interval between searches for expired requests.
+constexpr Duration PruneInterval = std::chrono::seconds(10);
 
 } // namespace
 
-bool RequestQuarantine::isBeyondChance(const Request &request)
+bool RequestQuarantine::hasEnoughEvidence(const Request &request)
 {
     const auto justBegun = std::count_if(request.ends.begin(), request.ends.end(),
                                          [](const EngineEnd &end) { return end.hadJustBegun; });
@@ -34,7 +34,7 @@
 std::optional<TimePoint> RequestQuarantine::heldUntil(const WorkDigest &digest,
                                                       const Request &request, TimePoint now) const
 {
-    if (!isBeyondChance(request) || isFreed(digest)) {
+    if (!hasEnoughEvidence(request) || isFreed(digest)) {
         return std::nullopt;
     }
     constexpr std::uint64_t Steps = 1024;
@@ -65,7 +65,7 @@
     return true;
 }
 
-void RequestQuarantine::takeBack(Request &request, TimePoint answeredAt)
+void RequestQuarantine::discardEvidence(Request &request, TimePoint answeredAt)
 {
     if (request.answeredAt && answeredAt <= *request.answeredAt) {
         return;
@@ -82,7 +82,7 @@
     if (known != m_requests.end()) {
         return known->second;
     }
-    makeRoom(customer, now);
+    evictIfFull(customer, now);
     ++m_byCustomer[customer];
     Request &request = m_requests[digest];
     request.customer = customer;
@@ -90,23 +90,24 @@
     return request;
 }
 
-void RequestQuarantine::makeRoom(std::uint64_t customer, TimePoint now)
+void RequestQuarantine::evictIfFull(std::uint64_t customer, TimePoint now)
 {
-    forgetOld(now);
+    pruneExpired(now);
     const auto count = m_byCustomer.find(customer);
     const bool isCustomerFull = count != m_byCustomer.end() && count->second >= MostOfCustomer;
     if (!isCustomerFull && m_requests.size() < MostRequests) {
         return;
     }
-    // Those that are held go last: each of them is known to end engines.
-    const auto goesBefore = [](const Request &a, const Request &b) {
-        const bool aIsHeld = isBeyondChance(a);
-        return aIsHeld != isBeyondChance(b) ? !aIsHeld : a.changedAt < b.changedAt;
+    // Quarantined requests are evicted last: each of them is known to terminate engines.
+    const auto isEvictedBefore = [](const Request &a, const Request &b) {
+        const bool aIsQuarantined = hasEnoughEvidence(a);
+        return aIsQuarantined != hasEnoughEvidence(b) ? !aIsQuarantined : a.changedAt < b.changedAt;
     };
     auto first = m_requests.end();
     for (auto each = m_requests.begin(); each != m_requests.end(); ++each) {
-        const bool mayGo = !isCustomerFull || each->second.customer == customer;
-        if (mayGo && (first == m_requests.end() || goesBefore(each->second, first->second))) {
+        const bool isEvictable = !isCustomerFull || each->second.customer == customer;
+        if (isEvictable
+            && (first == m_requests.end() || isEvictedBefore(each->second, first->second))) {
             first = each;
         }
     }
@@ -122,12 +123,12 @@
     m_requests.erase(request);
 }
 
-void RequestQuarantine::forgetOld(TimePoint now)
+void RequestQuarantine::pruneExpired(TimePoint now)
 {
-    if (now - m_forgottenAt < ForgetEvery) {
+    if (now - m_prunedAt < PruneInterval) {
         return;
     }
-    m_forgottenAt = now;
+    m_prunedAt = now;
     for (auto each = m_requests.begin(); each != m_requests.end();) {
         const auto next = std::next(each);
         if (now - each->second.changedAt > Memory) {
@@ -149,7 +150,7 @@
     Request &request = requestFor(digest, customer, end.at);
     const bool wasHeld = heldUntil(digest, request, end.at).has_value();
     if (add(request, end)) {
-        request.tellsLeft = Repeats;
+        request.sendsLeft = Repeats;
         m_hasNews = true;
     }
     return !wasHeld && heldUntil(digest, request, end.at).has_value();
@@ -161,8 +162,8 @@
     if (known == m_requests.end() || known->second.ends.empty()) {
         return false;
     }
-    takeBack(known->second, now);
-    known->second.tellsLeft = Repeats;
+    discardEvidence(known->second, now);
+    known->second.sendsLeft = Repeats;
     m_hasNews = true;
     return true;
 }
@@ -184,51 +185,51 @@
     m_freed = std::move(freed);
 }
 
-std::vector<WorkDigest> RequestQuarantine::heard(const std::vector<QuarantineNews> &news,
+std::vector<WorkDigest> RequestQuarantine::heard(const std::vector<QuarantineNews> &updates,
                                                  TimePoint now)
 {
-    std::vector<WorkDigest> nowHeld;
-    for (const QuarantineNews &each : news) {
+    std::vector<WorkDigest> newlyHeld;
+    for (const QuarantineNews &each : updates) {
         Request &request = requestFor(each.digest, each.customer, now);
         const bool wasHeld = heldUntil(each.digest, request, now).has_value();
         if (each.answeredAge) {
-            takeBack(request, now - *each.answeredAge);
+            discardEvidence(request, now - *each.answeredAge);
         }
         for (const QuarantineNews::End &end : each.ends) {
             add(request, {end.engine, now - end.age, end.hadJustBegun});
         }
         if (!wasHeld && heldUntil(each.digest, request, now)) {
-            nowHeld.push_back(each.digest);
+            newlyHeld.push_back(each.digest);
         }
     }
-    return nowHeld;
+    return newlyHeld;
 }
 
-QuarantineNews RequestQuarantine::newsOf(const WorkDigest &digest, const Request &request,
-                                         TimePoint now)
+QuarantineNews RequestQuarantine::updateOf(const WorkDigest &digest, const Request &request,
+                                           TimePoint now)
 {
-    QuarantineNews news{digest, request.customer, std::nullopt, {}};
+    QuarantineNews update{digest, request.customer, std::nullopt, {}};
     if (request.answeredAt) {
-        news.answeredAge = now - *request.answeredAt;
+        update.answeredAge = now - *request.answeredAt;
     }
     for (const EngineEnd &end : request.ends) {
-        news.ends.push_back({end.engine, now - end.at, end.hadJustBegun});
+        update.ends.push_back({end.engine, now - end.at, end.hadJustBegun});
     }
-    return news;
+    return update;
 }
 
 std::vector<QuarantineNews> RequestQuarantine::toTell(std::size_t nodes, std::size_t most,
                                                       TimePoint now, Random &random)
 {
-    forgetOld(now);
-    const double since = m_toldAt ? secondsOf(now - *m_toldAt) : 0;
-    m_toldAt = now;
+    pruneExpired(now);
+    const double since = m_sentAt ? secondsOf(now - *m_sentAt) : 0;
+    m_sentAt = now;
     m_hasNews = false;
     if (m_requests.empty()) {
         return {};
     }
     const auto isWorthRefreshing = [now](const Request &request) {
-        return isBeyondChance(request) || now - request.changedAt < RefreshFor;
+        return hasEnoughEvidence(request) || now - request.changedAt < RefreshFor;
     };
     const auto refreshable = static_cast<double>(
             std::count_if(m_requests.begin(), m_requests.end(),
@@ -236,19 +237,19 @@
     const double share =
             RefreshPerSecond * since / static_cast<double>(std::max<std::size_t>(nodes, 1));
     const double chance = refreshable > 0 ? share / refreshable : 0;
-    std::vector<QuarantineNews> news;
+    std::vector<QuarantineNews> updates;
     for (auto &[digest, request] : m_requests) {
-        if (news.size() >= most) {
+        if (updates.size() >= most) {
             m_hasNews = true;
             break;
         }
-        const bool isNew = request.tellsLeft > 0;
+        const bool isNew = request.sendsLeft > 0;
         if (isNew || (isWorthRefreshing(request) && uniform(random) < chance)) {
-            news.push_back(newsOf(digest, request, now));
-            request.tellsLeft = std::max(0, request.tellsLeft - 1);
+            updates.push_back(updateOf(digest, request, now));
+            request.sendsLeft = std::max(0, request.sendsLeft - 1);
         }
     }
-    return news;
+    return updates;
 }
 
 std::size_t RequestQuarantine::held(TimePoint now) const
--- a/src/vanilladyke/policy/request_quarantine_test.cpp
+++ b/src/vanilladyke/policy/request_quarantine_test.cpp
@@ -20,32 +20,32 @@
     return {number, number * 31};
 }
 
-/// Tells all of one node's news to another, as datagrams do.
-void tell(RequestQuarantine &from, RequestQuarantine &to, TimePoint now)
+/// Sends all pending updates of one node to another, as the datagrams between nodes do.
+void sendUpdates(RequestQuarantine &from, RequestQuarantine &to, TimePoint now)
 {
     Random random(1);
-    const auto news = from.toTell(1, 1000, now, random);
-    static_cast<void>(to.heard(news, now));
+    const auto updates = from.toTell(1, 1000, now, random);
+    static_cast<void>(to.heard(updates, now));
 }
 
-// Every copy of a request that ends engines was sent on, by nodes that knew nothing of each other's
-// ends.
-TEST(RequestQuarantine, TwoEnginesThatEndedHoldARequestAtEveryNode)
+// Without the exchange of terminations between nodes, each node would send on its own copy of a
+// request that terminates engines.
+TEST(RequestQuarantine, TwoEngineTerminationsQuarantineARequestAtEveryNode)
 {
     RequestQuarantine first(1);
     RequestQuarantine second(2);
     EXPECT_FALSE(first.ended(work(7), 5, {100, Start, true}));
     EXPECT_FALSE(second.ended(work(7), 5, {101, Start + milliseconds(80), true}));
     EXPECT_FALSE(first.heldUntil(work(7), Start + milliseconds(90)));
-    tell(first, second, Start + milliseconds(100));
-    tell(second, first, Start + milliseconds(100));
+    sendUpdates(first, second, Start + milliseconds(100));
+    sendUpdates(second, first, Start + milliseconds(100));
     EXPECT_TRUE(first.heldUntil(work(7), Start + milliseconds(120)));
     EXPECT_TRUE(second.heldUntil(work(7), Start + milliseconds(120)));
     EXPECT_FALSE(first.heldUntil(work(8), Start + milliseconds(120)));
 }
 
-// Each request that ran beside a crash would be refused although it has done nothing.
-TEST(RequestQuarantine, OneEngineThatEndedHoldsNobody)
+// After a single crash, requests that merely ran on the same engine would be refused.
+TEST(RequestQuarantine, OneEngineTerminationQuarantinesNothing)
 {
     RequestQuarantine quarantine;
     EXPECT_FALSE(quarantine.ended(work(7), 5, {100, Start, true}));
@@ -53,9 +53,9 @@
     EXPECT_FALSE(quarantine.heldUntil(work(7), Start + seconds(1)));
 }
 
-// A request that ends engines long after it began would never be held; a stream that lost two by
-// chance would.
-TEST(RequestQuarantine, LongRunsNeedAThirdEnd)
+// A request that terminates engines long after its start would never be quarantined, or a stream
+// that lost two engines by chance would be.
+TEST(RequestQuarantine, LongRunsNeedAThirdTermination)
 {
     RequestQuarantine quarantine;
     EXPECT_FALSE(quarantine.ended(work(7), 5, {100, Start, false}));
@@ -63,41 +63,41 @@
     EXPECT_TRUE(quarantine.ended(work(7), 5, {102, Start + seconds(2), true}));
 }
 
-// A request that many callers ask for would be refused to all of them after two crashes by chance.
-TEST(RequestQuarantine, AWholeAnswerTakesBackWhatCameBeforeIt)
+// A request sent by many callers would be refused to all of them after two unrelated crashes.
+TEST(RequestQuarantine, ACompleteAnswerDiscardsEarlierEvidence)
 {
     RequestQuarantine first(1);
     RequestQuarantine second(2);
     static_cast<void>(first.ended(work(7), 5, {100, Start, true}));
     static_cast<void>(first.ended(work(7), 5, {101, Start + seconds(1), true}));
-    tell(first, second, Start + seconds(1));
+    sendUpdates(first, second, Start + seconds(1));
     ASSERT_TRUE(second.heldUntil(work(7), Start + seconds(1)));
     EXPECT_TRUE(first.answered(work(7), Start + seconds(2)));
     EXPECT_FALSE(first.answered(work(7), Start + seconds(2)));
-    tell(first, second, Start + seconds(2));
+    sendUpdates(first, second, Start + seconds(2));
     EXPECT_FALSE(second.heldUntil(work(7), Start + seconds(2)));
-    // A node that has not heard of the answer tells of the old ends again.
+    // A node that has not received the answer resends the old terminations.
     RequestQuarantine third(3);
     static_cast<void>(third.ended(work(7), 5, {100, Start, true}));
-    tell(third, second, Start + seconds(3));
+    sendUpdates(third, second, Start + seconds(3));
     EXPECT_FALSE(second.ended(work(7), 5, {102, Start + seconds(4), true}));
 }
 
-// An engine that was only out of connections looked as if it had ended.
-TEST(RequestQuarantine, AnEngineThatAnswersLaterHadNotEnded)
+// An engine that only ran out of connections looked as if it had terminated.
+TEST(RequestQuarantine, AnEngineThatAnswersLaterHadNotTerminated)
 {
     RequestQuarantine quarantine;
     static_cast<void>(quarantine.ended(work(7), 5, {100, Start, true}));
     static_cast<void>(quarantine.ended(work(7), 5, {101, Start, true}));
-    quarantine.engineLives(100, Start + milliseconds(500)); // written before it ended
+    quarantine.engineLives(100, Start + milliseconds(500)); // written before it terminated
     ASSERT_TRUE(quarantine.heldUntil(work(7), Start + seconds(1)));
     quarantine.engineLives(100, Start + seconds(2));
     EXPECT_FALSE(quarantine.heldUntil(work(7), Start + seconds(2)));
 }
 
-// All nodes would try a held request at the same moment once its time is over, and lose an engine
-// each.
-TEST(RequestQuarantine, NodesLetARequestGoAtDifferentTimes)
+// All nodes would send a quarantined request at the same moment once its hold time is over, and
+// each would lose an engine.
+TEST(RequestQuarantine, NodesReleaseARequestAtDifferentTimes)
 {
     std::set<TimePoint> releases;
     for (std::uint64_t node = 0; node < 9; ++node) {
@@ -109,14 +109,14 @@
         EXPECT_GE(*until, Start + RequestQuarantine::HoldTime);
         EXPECT_LE(*until, Start + RequestQuarantine::HoldTime + RequestQuarantine::ReleaseSpread);
         releases.insert(*until);
-        // Once it is let go, a single end more holds it again.
+        // After its release, one more termination is enough to quarantine it again.
         EXPECT_FALSE(quarantine.heldUntil(work(7), *until));
         EXPECT_TRUE(quarantine.ended(work(7), 5, {102, *until, true}));
     }
     EXPECT_GT(releases.size(), 7U);
 }
 
-TEST(RequestQuarantine, AnOperatorFreesARequest)
+TEST(RequestQuarantine, AnOperatorExemptsARequest)
 {
     RequestQuarantine quarantine;
     static_cast<void>(quarantine.ended(work(7), 5, {100, Start, true}));
@@ -126,8 +126,9 @@
     EXPECT_FALSE(quarantine.ended(work(7), 5, {102, Start + seconds(1), true}));
 }
 
-// A caller with ever new requests that end engines would push out those of everybody else.
-TEST(RequestQuarantine, ACustomerWithEverNewRequestsPushesOutItsOwn)
+// A customer that keeps sending new requests that terminate engines would evict the entries of all
+// other customers.
+TEST(RequestQuarantine, ACustomerWithManyRequestsEvictsItsOwn)
 {
     RequestQuarantine quarantine;
     static_cast<void>(quarantine.ended(work(1), 5, {100, Start, true}));
@@ -152,8 +153,9 @@
     EXPECT_EQ(quarantine.size(), 0U);
 }
 
-// A node that was cut off while engines ended, or has just started, would send the next copy on.
-TEST(RequestQuarantine, ANodeThatComesLaterHearsOfWhatIsHeld)
+// A node that was partitioned while engines terminated, or has just started, would send the next
+// copy on.
+TEST(RequestQuarantine, ANodeThatJoinsLateReceivesTheQuarantine)
 {
     constexpr std::size_t Nodes = 295;
     std::vector<RequestQuarantine> others;
@@ -164,41 +166,42 @@
     }
     Random random(3);
     RequestQuarantine late(1000);
-    constexpr Duration Telling = milliseconds(2640); // between tellings of one of 295 nodes
-    std::size_t told = 0;
+    constexpr Duration UpdateInterval =
+            milliseconds(2640); // between two updates from one of 295 nodes
+    std::size_t sent = 0;
     TimePoint now = Start + minutes(1);
-    // What they saw themselves is told out first; here all of them saw it.
+    // Own observations are sent Repeats times first; here every node has made them.
     for (int i = 0; i <= RequestQuarantine::Repeats; ++i) {
         for (RequestQuarantine &each : others) {
             static_cast<void>(each.toTell(Nodes, 40, now, random));
         }
-        now += Telling;
+        now += UpdateInterval;
     }
     for (RequestQuarantine &each : others) {
-        const auto news = each.toTell(Nodes, 40, now, random);
-        told += news.size();
-        static_cast<void>(late.heard(news, now));
+        const auto updates = each.toTell(Nodes, 40, now, random);
+        sent += updates.size();
+        static_cast<void>(late.heard(updates, now));
     }
     EXPECT_TRUE(late.heldUntil(work(7), now));
-    EXPECT_LE(told, 60U); // about RefreshPerSecond, whatever the number of nodes
+    EXPECT_LE(sent, 60U); // about RefreshPerSecond, regardless of the number of nodes
 }
 
-/// A small fleet, step by step: requests run at engines drawn at random, engines end, nodes tell
-/// each other of it every 80 ms and lose a datagram now and then. Callers come once more.
+/// Simulates a small fleet: requests run on randomly drawn engines, engines terminate, nodes
+/// exchange updates every 80 ms with occasional datagram loss. Callers retry once.
 class Replay
 {
 public:
     struct Result
     {
         int asked = 0;
-        int refused = 0; ///< innocent attempts that were refused by the quarantine
-        int ended = 0;   ///< engines that the request ended
-        int late = 0;    ///< sends of it after the contact time
+        int refused = 0; ///< attempts of harmless requests refused by the quarantine
+        int ended = 0;   ///< engines that the poison request terminated
+        int late = 0;    ///< sends of the poison request 3 s or more after the third termination
     };
 
-    Replay(std::uint64_t seed, bool hasKiller, int crashes)
+    Replay(std::uint64_t seed, bool hasPoisonRequest, int crashes)
         : m_random(seed)
-        , m_hasKiller(hasKiller)
+        , m_hasPoisonRequest(hasPoisonRequest)
         , m_crashes(crashes)
     {
         for (std::uint64_t i = 0; i < Nodes; ++i) {
@@ -219,7 +222,7 @@
     static constexpr std::size_t Nodes = 9;
     static constexpr std::size_t Engines = 9;
     static constexpr Duration Step = milliseconds(10);
-    static constexpr WorkDigest Killer{1, 1};
+    static constexpr WorkDigest PoisonRequest{1, 1};
 
     struct Running
     {
@@ -247,20 +250,20 @@
             return;
         }
         const TimePoint begins = now + milliseconds(20 + uniformBelow(m_random, 200));
-        const Duration lasts = digest == Killer
+        const Duration lasts = digest == PoisonRequest
                                        ? Duration(milliseconds(50))
                                        : Duration(milliseconds(100 + uniformBelow(m_random, 900)));
         m_running.push_back({digest, node, live[uniformBelow(m_random, live.size())], begins,
                              begins + lasts, sends, attempt});
         const bool isLate = m_thirdEnd && now > *m_thirdEnd + seconds(3);
-        m_result.late += digest == Killer && isLate ? 1 : 0;
+        m_result.late += digest == PoisonRequest && isLate ? 1 : 0;
     }
 
     void arrive(WorkDigest digest, int attempt, TimePoint now)
     {
         const std::size_t node = uniformBelow(m_random, Nodes);
         const bool isHeld = m_nodes[node].heldUntil(digest, now).has_value();
-        if (digest != Killer) {
+        if (digest != PoisonRequest) {
             m_result.asked += attempt == 1 ? 1 : 0;
             m_result.refused += isHeld ? 1 : 0;
         }
@@ -287,7 +290,7 @@
             static_cast<void>(m_nodes[each.node].ended(each.digest, 5, {id, now, hadJustBegun}));
             if (each.sends < 2 && !m_nodes[each.node].heldUntil(each.digest, now)) {
                 send(each.digest, each.node, each.sends + 1, each.attempt, now);
-            } else if (each.attempt < 2 && each.digest != Killer) {
+            } else if (each.attempt < 2 && each.digest != PoisonRequest) {
                 arrive(each.digest, each.attempt + 1, now);
             }
         }
@@ -299,8 +302,8 @@
         while (chance(0.6)) { // 150 a second
             arrive({2, ++m_number}, 1, now);
         }
-        if (m_hasKiller && chance(8 * perStep)) {
-            arrive(Killer, 1, now);
+        if (m_hasPoisonRequest && chance(8 * perStep)) {
+            arrive(PoisonRequest, 1, now);
         }
         for (int i = 0; i < m_crashes; ++i) {
             if (chance(perStep / 3)) {
@@ -310,13 +313,13 @@
         std::optional<std::size_t> ending;
         std::erase_if(m_running, [&](const Running &each) {
             const bool isOver = each.endsAt <= now;
-            if (isOver && each.digest != Killer) {
+            if (isOver && each.digest != PoisonRequest) {
                 static_cast<void>(m_nodes[each.node].answered(each.digest, now));
             }
-            if (isOver && each.digest == Killer) {
+            if (isOver && each.digest == PoisonRequest) {
                 ending = each.engine;
             }
-            return isOver && each.digest != Killer;
+            return isOver && each.digest != PoisonRequest;
         });
         if (ending) {
             end(*ending, now);
@@ -325,24 +328,24 @@
             }
         }
         if ((now - Start) % milliseconds(80) == Duration::zero()) {
-            exchangeNews(now);
+            exchangeUpdates(now);
         }
     }
 
-    void exchangeNews(TimePoint now)
+    void exchangeUpdates(TimePoint now)
     {
         for (std::size_t from = 0; from < Nodes; ++from) {
-            const auto news = m_nodes[from].toTell(Nodes, 40, now, m_random);
+            const auto updates = m_nodes[from].toTell(Nodes, 40, now, m_random);
             for (std::size_t to = 0; to < Nodes; ++to) {
                 if (to != from && !chance(0.03)) {
-                    static_cast<void>(m_nodes[to].heard(news, now));
+                    static_cast<void>(m_nodes[to].heard(updates, now));
                 }
             }
         }
     }
 
     Random m_random;
-    bool m_hasKiller;
+    bool m_hasPoisonRequest;
     int m_crashes;
     std::vector<RequestQuarantine> m_nodes;
     std::array<TimePoint, Engines> m_backAt{};
@@ -353,9 +356,8 @@
     Result m_result;
 };
 
-// Nine engines end within a second, and again as soon as they are back, under copies of one
-// request.
-TEST(RequestQuarantine, ReplayOfARequestThatEndsEnginesStopsItSoon)
+// Copies of one request terminate nine engines within a second, and again as soon as they are back.
+TEST(RequestQuarantine, ReplayOfARequestThatTerminatesEnginesIsStoppedSoon)
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         const Replay::Result result = Replay(seed, true, 0).run();
@@ -367,9 +369,9 @@
     }
 }
 
-// Engines crash by chance, one each three seconds or three each three seconds: callers lose
-// engines, some two.
-TEST(RequestQuarantine, ReplayOfCrashesByChanceRefusesHardlyAnyInnocentRequest)
+// Engines crash at random, one or three of them every three seconds: callers lose engines, some of
+// them two.
+TEST(RequestQuarantine, ReplayOfRandomCrashesRefusesFewHarmlessRequests)
 {
     int asked = 0;
     int refused = 0;
