--- a/include/vanilladyke/policy/ejection.hpp
+++ b/include/vanilladyke/policy/ejection.hpp
@@ -8,32 +8,33 @@
 #include <optional>
 #include <vector>
 
-/// Ejection: engines that fail or answer slowly get no work for a while.
+/// Ejection: engines that fail or answer slowly get no requests for a while.
 ///
 /// Load pattern: one engine of many fails its requests at once, or answers ten times slower than
-/// the others while its health report looks well. An engine that fails fast even looks idle and
-/// draws work. Without ejection a share of all requests goes there until somebody notices.
+/// the others while it reports itself healthy. An engine that fails fast even looks idle and
+/// attracts requests. Without ejection a share of all requests goes there until an operator
+/// notices.
 ///
-/// Grounds for the figures: FailuresToEject failures in a row are past chance at an error rate of
-/// a few in a hundred. An engine is slow when its first tokens take SlowFactor times as long,
-/// against their prediction, as those of the middle engine of the model, over at least
-/// SamplesToJudge answers; the middle one, because when all are slow none is to blame. The back-off
-/// starts at the time that loading weights takes (2 s) and doubles up to a minute. After it the
-/// engine gets SlowStart of its slots, growing to all of them over RampTime, so that one that is
-/// still sick hurts few requests. The cap on the ejected fraction comes from the bundle: beyond it
-/// the engines that are left would be overloaded, which is worse than a sick engine.
+/// Constants: at an error rate of a few percent, FailuresToEject failures in a row are unlikely to
+/// be random. An engine is slow if, over at least SamplesToJudge answers, its first tokens take
+/// SlowFactor times as long relative to their prediction as those of the median engine of the
+/// model. The median is used because no engine should be ejected when all are slow. The back-off
+/// starts at the time that loading weights takes (2 s) and doubles up to a minute. Afterwards the
+/// engine gets SlowStart of its slots, growing to all of them over RampTime, so that an engine that
+/// still fails affects few requests. The cap on the ejected fraction comes from the bundle: beyond
+/// it the remaining engines would be overloaded, which is worse than using a failing engine.
 namespace vanilladyke {
 
-/// @brief How one exchange with an engine went.
+/// @brief The outcome of one exchange with an engine.
 struct ExchangeObservation
 {
     EngineId engine;
     bool failed = false;
-    Duration predictedFirstToken{}; ///< as placement predicted it
-    Duration firstToken{};          ///< as it came; not used if it failed
+    Duration predictedFirstToken{}; ///< predicted by placement
+    Duration firstToken{};          ///< measured; not used if it failed
 };
 
-/// @brief Which engines are ejected, and how far others are on their way back.
+/// @brief Tracks which engines are ejected and how many slots returning engines may use.
 class Ejection
 {
 public:
@@ -45,15 +46,15 @@
     static constexpr Duration RampTime = std::chrono::seconds(10);
     static constexpr double SlowStart = 0.1;
 
-    /// @brief Takes in an outcome; ejects the engine if it is due and every model that it serves
+    /// @brief Records an outcome. Ejects the engine if it qualifies and every model that it serves
     /// stays within its cap.
-    /// @return whether the engine was ejected by this
-    bool observe(const ExchangeObservation &seen, const Fleet &fleet, TimePoint now);
-    /// @brief Ends ejections that a smaller fleet no longer allows, the longest-running first.
+    /// @return whether this ejected the engine
+    bool observe(const ExchangeObservation &outcome, const Fleet &fleet, TimePoint now);
+    /// @brief Ends ejections that exceed the cap of a smaller fleet, the longest-running first.
     void fit(const Fleet &fleet, TimePoint now);
 
     [[nodiscard]] bool ejected(const EngineId &engine, TimePoint now) const;
-    /// @brief Part of its slots that the engine may use: 0 while ejected, growing to 1 after.
+    /// @brief Fraction of its slots that the engine may use: 0 while ejected, then growing to 1.
     [[nodiscard]] double allowance(const EngineId &engine, TimePoint now) const;
     /// @brief When the ejection ends; none if it is not ejected.
     [[nodiscard]] std::optional<TimePoint> endsAt(const EngineId &engine, TimePoint now) const;
@@ -63,8 +64,8 @@
     {
         int failuresInRow = 0;
         int samples = 0;
-        double slowness = 1.0; ///< measured against predicted first token, averaged
-        Duration backoff{};    ///< of the last ejection; zero if there was none
+        double slowdown = 1.0; ///< average ratio of measured to predicted time to first token
+        Duration backoff{};    ///< of the last ejection; zero if none
         TimePoint ejectedAt;
         TimePoint endsAt;
     };
@@ -78,7 +79,7 @@
     std::map<EngineId, Record> m_records;
 };
 
-/// @brief How many of so many engines may be ejected at once.
+/// @brief Maximum number of engines out of `engines` that may be ejected at once.
 [[nodiscard]] std::size_t mostEjected(std::size_t engines, double fraction);
 
 } // namespace vanilladyke
--- a/include/vanilladyke/policy/exchange_state.hpp
+++ b/include/vanilladyke/policy/exchange_state.hpp
@@ -2,46 +2,48 @@
 
 #include "vanilladyke/model/refusal.hpp"
 
-/// What is known of one call's exchange with backend servers, and so whether it may have run.
+/// Tracks the exchange of one call with backend servers and whether the call may have run.
 ///
-/// Every refusal takes its `ran` from here. A call may be tried several times, one after another;
-/// one try in doubt leaves the whole call in doubt, whatever the later tries say.
+/// The `ran` field of every refusal is derived from here. A call may be attempted several times in
+/// sequence; one attempt with an unknown outcome makes the outcome of the whole call unknown,
+/// whatever later attempts return.
 namespace vanilladyke {
 
-/// @brief How far the call has come.
+/// @brief Progress of the call.
 enum class ExchangeStage {
     NothingSent, ///< no byte of the call has left this node
-    MayBeSent,   ///< some server may have the call, or a part of it
-    Refused,     ///< each server that may have had it refused it provably
-    Answered,    ///< a server has begun to answer
+    MayBeSent,   ///< a server may have received the call or a part of it
+    Refused,     ///< every server that may have received it provably refused it
+    Answered,    ///< a server has started to answer
 };
 
-/// @brief What happens in an exchange.
+/// @brief Events of an exchange.
 enum class ExchangeEvent {
-    SendStarted,     ///< connecting; from now on bytes may leave at any moment
-    ConnectFailed,   ///< no connection came about, so no byte left
-    RefusalReceived, ///< the server said that it did not run the call
-    AnswerReceived,  ///< the answer has begun
-    ConnectionLost,  ///< reset, cut, silent or an answer that is not ours
+    SendStarted,     ///< connecting; from now on bytes may be sent at any moment
+    ConnectFailed,   ///< no connection was established, so no byte was sent
+    RefusalReceived, ///< the server reported that it did not run the call
+    AnswerReceived,  ///< the first part of the answer arrived
+    ConnectionLost,  ///< reset, closed, timed out, or carried the answer of another call
 };
 
-/// @brief The exchange of one call, over all its tries.
+/// @brief The exchange of one call, over all its attempts.
 class ExchangeState
 {
 public:
-    /// @brief Takes in an event. One that can't follow the present stage changes nothing.
+    /// @brief Applies an event. An event that cannot follow the present stage has no effect.
     void apply(ExchangeEvent event);
 
     [[nodiscard]] ExchangeStage stage() const { return m_stage; }
-    /// @brief No only if nothing was sent, or all that got something refused provably.
+    /// @brief Whether the call may have run. `No` only if nothing was sent, or every server that
+    /// may have received something provably refused it.
     [[nodiscard]] Ran ran() const;
 
 private:
-    void endTry(ExchangeStage settled);
+    void endAttempt(ExchangeStage settled);
 
     ExchangeStage m_stage = ExchangeStage::NothingSent;
-    bool m_trying = false; ///< a try is under way and not yet answered
-    bool m_doubt = false;  ///< an earlier try was lost with its outcome unknown
+    bool m_attemptPending = false; ///< an attempt is in progress and not yet answered
+    bool m_outcomeUnknown = false; ///< the outcome of an earlier attempt is unknown
     bool m_refused = false;
 };
 
@@ -49,8 +51,8 @@
 
 /// @brief Whether an HTTP status proves that the server did not run the call.
 ///
-/// Only the client errors that servers give before they begin. A 5xx may come from something in
-/// between, or from a server that failed half way, and proves nothing.
+/// Only client errors that servers return before they start processing count. A 5xx may come from
+/// an intermediary, or from a server that failed during processing, and proves nothing.
 [[nodiscard]] bool provesRefusal(int httpStatus);
 
 } // namespace vanilladyke
--- a/include/vanilladyke/policy/fair_queue.hpp
+++ b/include/vanilladyke/policy/fair_queue.hpp
@@ -13,28 +13,29 @@
 #include <unordered_map>
 #include <vector>
 
-/// Fair queue: who is served next when a model's slots are all taken.
+/// Fair queue: the order in which requests are served when all slots of a model are taken.
 ///
 /// Load patterns: a hot customer that fills the queue; long jobs among short ones; urgent work
-/// beside bulk work. First come, first served would make everyone wait behind whoever sends most,
-/// and a short check behind a row of long drafts.
+/// beside bulk work. With first come, first served, every customer would wait behind the one that
+/// sends most, and a short check behind a series of long drafts.
 ///
-/// Order: priority classes first; inside a class deficit round robin over customers, weighted by
+/// Order: priority classes first. Inside a class, deficit round robin over customers, weighted by
 /// the bundle and charged by predicted slot time, so that a customer with long jobs gets fewer of
-/// them; inside a customer the earliest deadline first. A class that waits is owed FloorShare of
-/// all work that is served from other classes, and is served once that covers its next job: so no
-/// class starves, and urgent work keeps four fifths even with both others waiting.
+/// them. Inside a customer, the earliest deadline first. A waiting class earns a credit of
+/// FloorShare of all work that is served from other classes, and is served once the credit covers
+/// its next job. So no class starves, and urgent work keeps four fifths of the capacity even when
+/// both other classes wait.
 ///
-/// Rounds of the round robin in which nobody can afford its next job are skipped by arithmetic:
-/// customers are kept ordered by the round in which they can. A step is O(log n) for any job cost,
-/// and the quantum needs no tuning; it only sets how finely turns are cut.
+/// Rounds in which no customer can afford its next job are not iterated but computed: customers are
+/// kept ordered by the round in which they can afford it. An operation takes O(log n) for any job
+/// cost, and the quantum only sets the granularity of turns.
 ///
-/// The queue is bounded, because every waiting request holds a thread of its node. A customer may
-/// have as many waiting as there is free room: a hot one gets half of the queue at most, two hot
-/// ones a third each, and there is room for a customer that comes later.
+/// The queue is bounded because every waiting request holds a thread of its node. A customer may
+/// have as many requests waiting as there is free room: one hot customer gets at most half of the
+/// queue, two get a third each, and room remains for a customer that comes later.
 namespace vanilladyke {
 
-/// @brief Names one waiting request.
+/// @brief Identifies one waiting request.
 enum class QueueTicket : std::uint64_t {};
 
 /// @brief A request that waits for a slot.
@@ -45,10 +46,10 @@
     double weight = 1.0;
     Priority priority = Priority::Normal;
     Duration cost{};       ///< predicted time in a slot
-    TimePoint latestStart; ///< past this its first token would miss its deadline
+    TimePoint latestStart; ///< a later start makes the first token miss its deadline
 };
 
-/// @brief Work that is promised a place: of the customer in question, and of all.
+/// @brief Work that has a reservation: of the customer in question, and of all customers.
 struct ExpectedWork
 {
     Duration ofCustomer{};
@@ -59,31 +60,31 @@
 class FairQueue
 {
 public:
-    /// @brief Part of all served work that a waiting class is owed.
+    /// @brief Fraction of all work served from other classes that a waiting class is credited with.
     static constexpr double FloorShare = 0.1;
-    /// @brief Work of a customer with weight 1 in one round: about one short request.
+    /// @brief Work that a customer of weight 1 is granted per round: about one short request.
     static constexpr Duration Quantum = std::chrono::milliseconds(100);
 
     explicit FairQueue(std::size_t capacity)
         : m_capacity(capacity)
     {}
 
-    /// @return false if the queue, or the customer's part of it, is full
+    /// @return false if the queue, or the customer's share of it, is full
     [[nodiscard]] bool push(const QueuedJob &job);
-    /// @brief Takes out the next job to be served.
+    /// @brief Removes the next job to be served.
     [[nodiscard]] std::optional<QueuedJob> pop();
-    /// @brief Takes out a job whose caller has left. @return false if it is not here
+    /// @brief Removes a job whose caller has disconnected. @return false if it is not queued
     bool remove(QueueTicket ticket);
-    /// @brief Takes out every job that can no longer start in time.
+    /// @brief Removes every job that can no longer start in time.
     [[nodiscard]] std::vector<QueuedJob> expire(TimePoint now);
 
-    /// @brief Work that will be served before the job, were it pushed now; an upper bound as long
-    /// as no class above its own gets more.
-    /// @param expected work that is not here yet but has precedence
+    /// @brief Backlog ahead of the job if it were pushed now. An upper bound as long as no higher
+    /// class receives more work.
+    /// @param expected work that is not queued yet but has precedence
     [[nodiscard]] Duration workAhead(const QueuedJob &job, const ExpectedWork &expected = {}) const;
-    /// @brief Every waiting job with the work ahead of it, when the whole queue is judged anew.
+    /// @brief Every waiting job with the backlog ahead of it, for re-evaluating the whole queue.
     [[nodiscard]] std::vector<std::pair<QueuedJob, Duration>> outlook() const;
-    /// @brief When the next job has to start at the latest; none if nothing waits.
+    /// @brief The earliest of the latest start times; none if the queue is empty.
     [[nodiscard]] std::optional<TimePoint> firstLatestStart() const;
 
     [[nodiscard]] std::size_t size() const { return m_jobs.size(); }
@@ -101,15 +102,15 @@
     };
 
     /// A customer's waiting jobs in one class.
-    struct Line
+    struct CustomerQueue
     {
         std::set<ByDeadline> jobs;
         double weight = 1.0;
         Duration work{};
-        Duration deficit{};      ///< may be spent in round roundAt
+        Duration deficit{};      ///< slot time that may be spent in round roundAt
         std::uint64_t roundAt{}; ///< round up to which the deficit was filled
         std::uint64_t turnRound{};
-        std::uint64_t turnOrder{}; ///< 0 while it has no turn
+        std::uint64_t turnOrder{}; ///< 0 while no turn is scheduled
     };
 
     struct Turn
@@ -122,22 +123,22 @@
 
     struct PriorityClass
     {
-        std::unordered_map<CustomerId, Line> lines;
+        std::unordered_map<CustomerId, CustomerQueue> customers;
         std::set<Turn> turns;
         std::uint64_t round = 0;
-        double weight = 0; ///< of all lines
+        double weight = 0; ///< of all customers in the class
         Duration work{};
-        double owed = 0; ///< seconds of work that the floor share owes it
+        double credit = 0; ///< unspent credit from FloorShare, in seconds of work
     };
 
     [[nodiscard]] std::optional<std::size_t> nextClass() const;
-    [[nodiscard]] const QueuedJob &headOf(const Line &line) const;
-    [[nodiscard]] static Duration fairWork(const PriorityClass &of, const QueuedJob &job,
+    [[nodiscard]] const QueuedJob &headOf(const CustomerQueue &queue) const;
+    [[nodiscard]] static Duration fairWork(const PriorityClass &priorityClass, const QueuedJob &job,
                                            Duration own, Duration all);
     [[nodiscard]] Duration withOtherClasses(const QueuedJob &job, Duration ahead) const;
-    void schedule(PriorityClass &of, const CustomerId &customer, Line &line);
+    void schedule(PriorityClass &priorityClass, const CustomerId &customer, CustomerQueue &queue);
     void charge(std::size_t served, Duration cost);
-    QueuedJob takeOut(QueueTicket ticket);
+    QueuedJob removeJob(QueueTicket ticket);
 
     std::size_t m_capacity;
     std::unordered_map<QueueTicket, QueuedJob> m_jobs;
--- a/include/vanilladyke/policy/retry_budget.hpp
+++ b/include/vanilladyke/policy/retry_budget.hpp
@@ -7,25 +7,25 @@
 #include <optional>
 #include <unordered_map>
 
-/// Retry budget: how many requests may be sent a second time.
+/// Retry budget: limits how many requests may be sent a second time.
 ///
-/// Load pattern: many backend servers fail or slow down at once, and every request is tried again.
-/// Without a budget the retries double the load on the servers that are left, which then fail too,
-/// and the fleet stays down after the cause is gone. Each first try earns a fraction of a retry,
-/// for its model and for its customer; a retry needs one of both, so that neither a broken model
-/// nor a customer whose requests fail uses up what belongs to others.
+/// Load pattern: many backend servers fail or slow down at once, and every request is retried.
+/// Without a budget the retries double the load on the remaining servers, which then fail too, and
+/// the fleet stays down after the cause is gone. Each first attempt earns a fraction of a retry,
+/// for its model and for its customer. A retry spends one of both, so that neither a broken model
+/// nor a customer whose requests fail uses up the budget of others.
 ///
-/// Grounds for the figures: the fraction comes from the bundle (0.1: a tenth more load at worst).
-/// FirstRetries lets a quiet model retry at all. What may be saved is what the loss of the largest
-/// engine needs: with less, half of the requests of an engine that crashed were refused although
-/// the others had room; with more, savings could feed a storm.
+/// Constants: the fraction comes from the bundle (0.1: at most a tenth more load). FirstRetries
+/// allows retries for a model with little traffic. The budget is capped at what the loss of the
+/// largest engine needs: with less, half of the requests of a crashed engine were refused although
+/// the other engines had room; with more, the accumulated budget could feed a retry storm.
 namespace vanilladyke {
 
-/// @brief What a budget earns.
+/// @brief How a budget accrues.
 struct RetryTerms
 {
-    double fraction = 0;  ///< of a retry, for each first try
-    double mostSaved = 0; ///< retries that may be saved up
+    double fraction = 0;  ///< retries earned per first attempt
+    double mostSaved = 0; ///< cap on accumulated retries
 };
 
 /// @brief The budget of one model or of one customer.
@@ -34,22 +34,22 @@
 public:
     static constexpr double FirstRetries = 3;
 
-    /// @brief Counts a first try, which earns the fraction of a retry.
+    /// @brief Counts a first attempt, which earns the fraction of a retry.
     void countFirstTry(const RetryTerms &terms, TimePoint now);
     [[nodiscard]] bool available() const;
-    void spend() { m_saved -= 1; }
-    /// @brief When a whole retry will have been earned at the present rate of first tries; none if
-    /// nothing is earned.
+    void spend() { m_accumulated -= 1; }
+    /// @brief When a whole retry will have been earned at the present rate of first attempts; none
+    /// if nothing is earned.
     [[nodiscard]] std::optional<TimePoint> availableAt(TimePoint now) const;
 
 private:
-    double m_saved = FirstRetries;
+    double m_accumulated = FirstRetries;
     double m_earnedPerSecond = 0;
     TimePoint m_at;
 };
 
-/// @brief The terms under which a node's budgets earn: the bundle's fraction, and the loss of the
-/// largest engine. The fleet must have a bundle.
+/// @brief The terms of a node's budgets: the fraction of the bundle, and the slots of the largest
+/// engine as cap. The fleet must have a bundle.
 [[nodiscard]] RetryTerms retryTerms(const Fleet &fleet);
 
 /// @brief The budgets of all models and customers of one node.
@@ -58,9 +58,10 @@
 public:
     void countFirstTry(const ModelId &model, const CustomerId &customer, const RetryTerms &terms,
                        TimePoint now);
-    /// @brief Spends one retry of both, or none of either.
+    /// @brief Spends one retry of the model and one of the customer, or neither. @return whether it
+    /// did
     [[nodiscard]] bool spend(const ModelId &model, const CustomerId &customer);
-    /// @brief When a retry will be there for both.
+    /// @brief When a retry will be available for both.
     [[nodiscard]] std::optional<TimePoint> availableAt(const ModelId &model,
                                                        const CustomerId &customer, TimePoint now);
 
--- a/include/vanilladyke/policy/return_book.hpp
+++ b/include/vanilladyke/policy/return_book.hpp
@@ -7,41 +7,43 @@
 #include <map>
 #include <unordered_map>
 
-/// Return times: the capacity that refused callers were told to come back for.
+/// Return reservations: capacity reserved for refused callers until their retry time.
 ///
-/// Load pattern: sustained overload, where callers come back when told. Without the book every
-/// refused caller hears the same time, they all return together, and all but one find the capacity
-/// taken again, so that the time they were told was not true. Each refusal therefore books its
-/// cost, which later refusals and fresh requests count as work ahead of them.
+/// Load pattern: sustained overload, where refused callers retry at the time they were given.
+/// Without reservations every refused caller is given the same retry time, all retry together, and
+/// all but one find the capacity claimed again, so the retry time was wrong. Each refusal therefore
+/// reserves its cost, and later refusals and new requests count reserved cost as backlog ahead of
+/// them.
 ///
-/// Grounds for the figures: a return is kept for ReturnGrace past its time, because a
-/// Retry-After header counts whole seconds (up to one late) and the caller's clock and path add to
-/// that. Many callers never return; the share of returns that were taken up is learned, and booked
-/// work counts by that share only, so that no-shows do not leave engines idle.
+/// Constants: a reservation is kept for ReturnGrace past its time, because a Retry-After header
+/// counts whole seconds (up to one second late), and the caller's clock and network path add to
+/// that. Many callers never retry: the fraction of reservations that are claimed is learned, and
+/// reserved cost counts by that fraction only, so that no-shows do not leave engines idle.
 namespace vanilladyke {
 
-/// @brief How long after its time a return is still kept.
+/// @brief How long a reservation is kept after its time.
 inline constexpr Duration ReturnGrace = std::chrono::seconds(2);
 
-/// @brief The returns that were promised and are not yet taken up.
+/// @brief Reservations that are neither claimed nor expired.
 class ReturnBook
 {
 public:
-    /// @param capacity returns kept at most; past it times are told without being kept
+    /// @param capacity maximum number of reservations; beyond it, retry times are given without one
     explicit ReturnBook(std::size_t capacity = DefaultCapacity)
         : m_capacity(capacity)
     {}
 
-    /// @brief Keeps capacity for a caller that was told to come back.
+    /// @brief Reserves capacity for a caller that was given a retry time.
     void promise(const CustomerId &customer, double cost, TimePoint due);
-    /// @brief Takes up a return of this customer that is due and covers the cost.
+    /// @brief Claims a reservation of this customer that is due and covers the cost. @return
+    /// whether there was one
     [[nodiscard]] bool redeem(const CustomerId &customer, double cost, TimePoint now);
-    /// @brief Drops the returns whose grace has passed.
+    /// @brief Drops the reservations whose grace period has passed.
     void expire(TimePoint now);
 
-    /// @brief Booked cost of all customers, by the share that is expected to return.
-    [[nodiscard]] double expected() const { return m_total * m_taken; }
-    /// @brief Booked cost of one customer, by the share that is expected to return.
+    /// @brief Reserved cost of all customers, weighted by the fraction expected to return.
+    [[nodiscard]] double expected() const { return m_total * m_claimedFraction; }
+    /// @brief Reserved cost of one customer, weighted by the fraction expected to return.
     [[nodiscard]] double expected(const CustomerId &customer) const;
     [[nodiscard]] std::size_t size() const { return m_returns.size(); }
 
@@ -61,13 +63,13 @@
     };
 
     void erase(Returns::iterator entry);
-    void learn(bool taken);
+    void updateClaimedFraction(bool claimed);
 
     std::size_t m_capacity;
     Returns m_returns;
     std::unordered_map<CustomerId, PerCustomer> m_customers;
     double m_total = 0;
-    double m_taken = 1.0;
+    double m_claimedFraction = 1.0;
 };
 
 } // namespace vanilladyke
--- a/src/vanilladyke/policy/admission.cpp
+++ b/src/vanilladyke/policy/admission.cpp
@@ -28,9 +28,9 @@
     const bool free = m_running.size() < m_slots && m_queue.empty();
     const ExpectedWork expected =
             decision.returned ? ExpectedWork{} : expectedReturns(job.customer);
-    decision.wait = free ? Duration(0) : waitBehind(m_queue.workAhead(job, expected), now);
-    // Once the margin is so large that everything is refused, nothing would be measured and it
-    // could never shrink: so an idle node lets a request through on the bare prediction.
+    decision.wait = free ? Duration(0) : waitAfter(m_queue.workAhead(job, expected), now);
+    // If the margin grew so large that everything is refused, nothing would be measured and it
+    // could never shrink. An idle node therefore admits a request on the bare prediction.
     const bool idle = m_running.empty() && m_queue.empty();
     decision.firstToken =
             now + decision.wait + (idle ? request.firstToken : allowedFor(request.firstToken));
@@ -38,7 +38,7 @@
         decision.reason = RefusalReason::NoBackend;
     } else if (decision.firstToken > request.deadline) {
         decision.reason = RefusalReason::TooLate;
-        decision.retryAt = returnOfLate(job, request, decision.firstToken, now);
+        decision.retryAt = retryTimeOfLate(job, request, decision.firstToken, now);
     } else if (free) {
         occupy(job, now);
         decision.verdict = AdmissionVerdict::Start;
@@ -47,23 +47,23 @@
     } else {
         decision.reason = RefusalReason::QueueFull;
         const auto returns = static_cast<double>(m_returns.size() + 1);
-        const Duration oneSlot = waitBehind(Duration(0), now);
-        decision.retryAt = promiseReturn(job, now + scaled(oneSlot, returns));
+        const Duration oneSlot = waitAfter(Duration(0), now);
+        decision.retryAt = reserveReturn(job, now + scaled(oneSlot, returns));
     }
     return decision;
 }
 
-std::optional<TimePoint> Admission::returnOfLate(const QueuedJob &job,
-                                                 const AdmissionRequest &request,
-                                                 TimePoint firstToken, TimePoint now)
+std::optional<TimePoint> Admission::retryTimeOfLate(const QueuedJob &job,
+                                                    const AdmissionRequest &request,
+                                                    TimePoint firstToken, TimePoint now)
 {
     if (now + request.prefill > request.deadline) {
-        return std::nullopt; // too late even with nothing ahead of it
+        return std::nullopt; // too late even without any backlog
     }
     const Duration lateBy = firstToken - request.deadline;
-    // Slots are given back in lumps when jobs began together, and predictions waver by about as
-    // much; one job's time more keeps the caller from returning a moment too early.
-    return promiseReturn(job, now + lateBy + scaled(meanJob(), m_correction));
+    // Jobs that started together release their slots together, and predictions vary by about the
+    // time of one job. Adding one mean job keeps the caller from retrying slightly too early.
+    return reserveReturn(job, now + lateBy + scaled(meanJob(), m_correction));
 }
 
 std::optional<QueuedJob> Admission::startNext(TimePoint now)
@@ -90,7 +90,7 @@
 void Admission::releaseUnused(QueueTicket ticket)
 {
     const auto running = m_running.find(ticket);
-    m_ends.erase(m_ends.find(running->second.predictedEnd));
+    m_predictedEnds.erase(m_predictedEnds.find(running->second.predictedEnd));
     m_runningWork -= running->second.predicted;
     m_running.erase(running);
 }
@@ -111,7 +111,7 @@
         return givenUp;
     }
     for (const auto &[job, ahead] : m_queue.outlook()) {
-        if (m_slots > 0 && now + waitBehind(ahead, now) <= job.latestStart) {
+        if (m_slots > 0 && now + waitAfter(ahead, now) <= job.latestStart) {
             continue;
         }
         m_queue.remove(job.ticket);
@@ -140,7 +140,7 @@
         return {job, RefusalReason::NoBackend, std::nullopt};
     }
     const Duration ahead = m_queue.workAhead(job, expectedReturns(job.customer));
-    return {job, RefusalReason::TooLate, promiseReturn(job, now + waitBehind(ahead, now))};
+    return {job, RefusalReason::TooLate, reserveReturn(job, now + waitAfter(ahead, now))};
 }
 
 ExpectedWork Admission::expectedReturns(const CustomerId &customer) const
@@ -150,7 +150,8 @@
 
 QueuedJob Admission::jobOf(const AdmissionRequest &request) const
 {
-    const Duration least = std::chrono::microseconds(1); // a free job would never use up a turn
+    // A job of cost 0 would never use up a turn.
+    const Duration least = std::chrono::microseconds(1);
     return {request.ticket,
             request.customer,
             request.weight,
@@ -164,7 +165,7 @@
     return scaled(firstToken, WaitFactor) + m_margin;
 }
 
-Duration Admission::waitBehind(Duration work, TimePoint now) const
+Duration Admission::waitAfter(Duration work, TimePoint now) const
 {
     const Duration queued = scaled(work, m_correction / std::max(m_slots, 1U));
     return untilNextSlot(now) + queued;
@@ -175,11 +176,11 @@
     if (m_running.empty()) {
         return Duration(0);
     }
-    // A job that runs past its predicted end says nothing of when it will end; then the mean span
-    // between two ends has to do.
+    // The end of a job that is past its predicted end is unknown; the mean time between two ends is
+    // used instead.
     const Duration mean = m_runningWork / static_cast<std::int64_t>(m_running.size());
     const Duration between = scaled(mean, m_correction / static_cast<double>(m_running.size()));
-    const Duration soonest = *m_ends.begin() - now;
+    const Duration soonest = *m_predictedEnds.begin() - now;
     return soonest > Duration(0) ? soonest : between;
 }
 
@@ -191,7 +192,7 @@
     return m_runningWork / static_cast<std::int64_t>(m_running.size());
 }
 
-TimePoint Admission::promiseReturn(const QueuedJob &job, TimePoint at)
+TimePoint Admission::reserveReturn(const QueuedJob &job, TimePoint at)
 {
     m_returns.promise(job.customer, secondsOf(job.cost), at);
     return at;
@@ -201,7 +202,7 @@
 {
     const TimePoint end = now + scaled(job.cost, m_correction);
     m_running[job.ticket] = {now, job.cost, end};
-    m_ends.insert(end);
+    m_predictedEnds.insert(end);
     m_runningWork += job.cost;
 }
 
--- a/src/vanilladyke/policy/admission_test.cpp
+++ b/src/vanilladyke/policy/admission_test.cpp
@@ -17,19 +17,19 @@
 
 constexpr TimePoint Start{seconds(1000)};
 
-/// What a caller sends, and what it got.
+/// A simulated call: its parameters and its state.
 struct Call
 {
     std::string customer = "a";
     Duration slotTime = milliseconds(100);
     Duration firstToken = milliseconds(20);
-    Duration patience = seconds(1); ///< from sending to the deadline of the first token
+    Duration timeout = seconds(1); ///< from sending to the first-token deadline
     Priority priority = Priority::Normal;
-    bool comesBack = false;
+    bool retries = false;
 
     TimePoint sentAt;
     TimePoint deadline;
-    bool returning = false;
+    bool isRetry = false;
 };
 
 struct Tally
@@ -38,14 +38,14 @@
     int answered = 0;
     int late = 0;
     int refused = 0;
-    int givenUp = 0; ///< refused after waiting
+    int givenUp = 0; ///< refused after waiting in the queue
     int returned = 0;
     int returnsRefused = 0;
     Duration longestWait{};
     Duration work{};
 };
 
-/// Engines with a fixed number of slots whose jobs take as long as predicted, times a factor.
+/// Engines with a fixed number of slots. Jobs take the predicted time multiplied by `slowness`.
 class FakeEngines
 {
 public:
@@ -114,7 +114,7 @@
     void arrive(Call call)
     {
         call.sentAt = m_now;
-        call.deadline = m_now + call.patience;
+        call.deadline = m_now + call.timeout;
         const QueueTicket ticket{++m_tickets};
         const AdmissionDecision decision =
                 m_admission.decide({ticket, CustomerId(call.customer), 1.0, call.priority,
@@ -122,7 +122,7 @@
                                    m_now);
         tally(call, [&](Tally &t) {
             ++t.sent;
-            t.returned += call.returning ? 1 : 0;
+            t.returned += call.isRetry ? 1 : 0;
         });
         m_calls[static_cast<std::uint64_t>(ticket)] = call;
         if (decision.verdict == AdmissionVerdict::Start) {
@@ -160,10 +160,10 @@
         Call call = m_calls.at(static_cast<std::uint64_t>(ticket));
         tally(call, [&](Tally &t) {
             ++t.refused;
-            t.returnsRefused += call.returning ? 1 : 0;
+            t.returnsRefused += call.isRetry ? 1 : 0;
         });
-        if (call.comesBack && retryAt) {
-            call.returning = true;
+        if (call.retries && retryAt) {
+            call.isRetry = true;
             sendAt(*retryAt, call);
         }
     }
@@ -186,9 +186,9 @@
     std::uint64_t m_tickets = 0;
 };
 
-// A hundred requests come at once where sixteen fit. Those that cannot be served in time must hear
-// it right away instead of finding out at their deadline.
-TEST(Admission, TakesABurstAsFarAsItCanBeServedInTime)
+// A hundred requests arrive at once where sixteen fit. Those that cannot be served in time must be
+// refused immediately, not at their deadline.
+TEST(Admission, AdmitsAsMuchOfABurstAsCanBeServedInTime)
 {
     FakeEngines engines(4, 1000);
     for (int i = 0; i < 100; ++i) {
@@ -201,9 +201,9 @@
     EXPECT_EQ(engines.all().givenUp, 0);
 }
 
-// Twice as much comes as the engines can do, for half a minute. Without admission the queue would
-// grow until every answer is late.
-TEST(Admission, HoldsGoodputAtTwiceTheCapacityWithNobodyLate)
+// Twice the capacity arrives for half a minute. Without admission control the queue would grow
+// until every answer is late.
+TEST(Admission, KeepsGoodputAtTwiceTheCapacityWithoutLateAnswers)
 {
     FakeEngines engines(8, 1000);
     const TimePoint end = Start + seconds(30);
@@ -215,14 +215,14 @@
     EXPECT_LE(engines.all().givenUp, engines.all().refused / 100);
 }
 
-// The same, but every refused caller comes back when it was told to. Were the times not kept, most
-// of them would find the place taken by someone who came just before.
-TEST(Admission, TakesThoseWhoComeBackWhenTold)
+// As above, but every refused caller retries at the time it was given. Without reservations most of
+// them would find the capacity taken by a request that arrived just before.
+TEST(Admission, AdmitsRetriesAtTheirReservedTime)
 {
     FakeEngines engines(8, 1000);
     const TimePoint end = Start + seconds(30);
     Call call;
-    call.comesBack = true;
+    call.retries = true;
     engines.sendEvery(std::chrono::microseconds(6250), Start, end, call);
     engines.run(end);
     EXPECT_GE(engines.all().returned, 500);
@@ -231,15 +231,15 @@
     EXPECT_EQ(engines.all().late, 0);
 }
 
-// A hot customer sends ten times what the engines can do, a small one a fifth of it. The small
-// one's share is free, so it must not notice.
+// A hot customer sends ten times the capacity of the engines, a small one a fifth of it. The small
+// customer stays within its share, so its requests must not be refused or delayed.
 TEST(Admission, ServesASmallCustomerBesideAHotOne)
 {
     FakeEngines engines(8, 200);
     const TimePoint end = Start + seconds(20);
     Call hot;
     hot.customer = "hot";
-    hot.comesBack = true;
+    hot.retries = true;
     Call small;
     small.customer = "small";
     engines.sendEvery(std::chrono::microseconds(1250), Start, end, hot);
@@ -250,8 +250,8 @@
     EXPECT_GE(secondsOf(engines.all().work), 0.95 * 8 * 20);
 }
 
-// Long drafts take every slot for seconds. Short checks of another customer that come in between
-// must get the next slots that are given back, ahead of the drafts that wait.
+// Long drafts hold every slot for seconds. Short checks of another customer must get the next
+// released slots, ahead of the drafts in the queue.
 TEST(Admission, ServesShortChecksAmongLongDrafts)
 {
     FakeEngines engines(16, 200);
@@ -259,11 +259,11 @@
     Call draft;
     draft.customer = "drafts";
     draft.slotTime = seconds(4);
-    draft.patience = seconds(10);
+    draft.timeout = seconds(10);
     Call check;
     check.customer = "checks";
     check.slotTime = milliseconds(50);
-    check.patience = seconds(2);
+    check.timeout = seconds(2);
     engines.sendEvery(milliseconds(200), Start, end, draft);
     engines.sendEvery(milliseconds(100), Start + milliseconds(33), end, check);
     engines.run(end);
@@ -272,8 +272,8 @@
     EXPECT_GE(engines.tallies["drafts"].answered, 140);
 }
 
-// Engines take twice as long as they were thought to. Predictions that are never compared with
-// what came would admit twice too many, and half of them would be late or given up in the queue.
+// Engines take twice as long as predicted. Without correction by measured times, twice as many
+// requests as fit would be admitted, and half of them would be late or refused in the queue.
 TEST(Admission, LearnsThatEnginesAreSlowerThanPredicted)
 {
     FakeEngines engines(8, 1000);
@@ -288,9 +288,9 @@
     EXPECT_GE(secondsOf(after.work - before.work) * 2, 0.95 * 8 * 20);
 }
 
-// Half of the engines die while requests wait. Those that can no longer be served in time must hear
-// it then, and not when their deadline comes.
-TEST(Admission, GivesUpAtOnceWhatALossOfEnginesMakesLate)
+// Three quarters of the slots are lost while requests wait. Those that can no longer be served in
+// time must be refused then, not at their deadline.
+TEST(Admission, RefusesAtOnceWhatALossOfSlotsMakesLate)
 {
     FakeEngines engines(8, 1000);
     for (int i = 0; i < 72; ++i) {
@@ -304,9 +304,9 @@
     EXPECT_EQ(engines.all().answered + engines.all().refused, 72);
 }
 
-// A prompt so long that its prefill alone takes past the deadline. Telling the caller to come back
-// would only make it try for ever.
-TEST(Admission, TellsNobodyToComeBackForWhatCanNeverBeInTime)
+// The prefill of a long prompt alone takes past the deadline. A retry time would make the caller
+// retry for ever.
+TEST(Admission, GivesNoRetryTimeForWhatCanNeverBeInTime)
 {
     Admission admission(10);
     static_cast<void>(admission.setSlots(4, Start));
@@ -319,9 +319,9 @@
     EXPECT_FALSE(decision.retryAt.has_value());
 }
 
-// For a while every first token came two seconds late, and the margin grew past all deadlines. If
-// nobody were let through any more, nothing would be measured, and the node would refuse all its
-// callers long after the engines have recovered.
+// Late first tokens have raised the margin beyond every deadline. If no request were admitted,
+// nothing would be measured, and the node would refuse all callers long after the engines have
+// recovered.
 TEST(Admission, RecoversFromAMarginBeyondEveryDeadline)
 {
     Admission admission(10);
@@ -347,8 +347,8 @@
     EXPECT_LT(admission.margin(), seconds(1));
 }
 
-// Whatever the mix of customers, job lengths and deadlines: every call is answered in time or
-// refused before its deadline, once.
+// For any mix of customers, job lengths and deadlines, every call is either answered in time or
+// refused before its deadline, exactly once.
 RC_GTEST_PROP(Admission, AnswersInTimeOrRefusesBeforeTheDeadline, ())
 {
     const auto slots = *rc::gen::inRange<std::uint32_t>(1, 16);
@@ -359,7 +359,7 @@
         call.customer = std::to_string(*rc::gen::inRange(0, 4));
         call.slotTime = milliseconds(*rc::gen::inRange(1, 2000));
         call.firstToken = std::min<Duration>(call.slotTime, milliseconds(50));
-        call.patience = milliseconds(*rc::gen::inRange(1, 3000));
+        call.timeout = milliseconds(*rc::gen::inRange(1, 3000));
         call.priority = static_cast<Priority>(*rc::gen::inRange(0, 3));
         engines.sendAt(Start + milliseconds(*rc::gen::inRange(0, 2000)), call);
     }
--- a/src/vanilladyke/policy/customer_share.cpp
+++ b/src/vanilladyke/policy/customer_share.cpp
@@ -9,10 +9,11 @@
 
 constexpr double EqualPart = 0.1;
 constexpr Duration DemandWindow = std::chrono::seconds(2);
-/// Demand below this is not worth a message: it changes no share by as much as the equal part.
-constexpr double LeastToldDemand = 1.0;
+/// Tokens per second. Lower demand is not reported: it changes no share by as much as EqualPart
+/// does.
+constexpr double LeastReportedDemand = 1.0;
 
-/// Rate and burst of a bucket that was never asked to hold a burst: one second's worth.
+/// The customer's burst; one second's worth of tokens if none is configured.
 double burstOf(const Customer &customer)
 {
     return customer.burstTokens > 0 ? customer.burstTokens : customer.tokensPerSecond;
@@ -20,10 +21,10 @@
 
 } // namespace
 
-double demandShare(double own, double others, std::uint32_t heardPeers, std::uint32_t liveNodes)
+double demandShare(double own, double others, std::uint32_t reportingPeers, std::uint32_t liveNodes)
 {
-    const double nodes = std::max(liveNodes, heardPeers + 1);
-    const double mean = (own + others) / (heardPeers + 1);
+    const double nodes = std::max(liveNodes, reportingPeers + 1);
+    const double mean = (own + others) / (reportingPeers + 1);
     const double total = mean * nodes;
     const double byDemand = total > 0 ? own / total : 1.0 / nodes;
     return EqualPart / nodes + (1 - EqualPart) * byDemand;
@@ -70,14 +71,14 @@
 void CustomerLimiter::hear(const NodeId &peer, const std::vector<CustomerDemand> &demand,
                            TimePoint now)
 {
-    Peer &told = m_peers[peer];
-    told.heardAt = now;
-    told.demand.clear();
+    Peer &report = m_peers[peer];
+    report.receivedAt = now;
+    report.demand.clear();
     for (const CustomerDemand &each : demand) {
-        told.demand[each.customer] = each.tokensPerSecond;
+        report.demand[each.customer] = each.tokensPerSecond;
     }
     std::erase_if(m_peers,
-                  [now](const auto &item) { return now - item.second.heardAt > PeerLoadLife; });
+                  [now](const auto &item) { return now - item.second.receivedAt > PeerLoadLife; });
 }
 
 std::vector<CustomerDemand> CustomerLimiter::ownDemand(TimePoint now) const
@@ -85,17 +86,17 @@
     std::vector<CustomerDemand> demand;
     for (const auto &[customer, own] : m_own) {
         const double rate = own.demand.rate(now);
-        if (rate >= LeastToldDemand) {
+        if (rate >= LeastReportedDemand) {
             demand.push_back({customer, rate});
         }
     }
-    const auto told =
+    const auto reported =
             demand.begin() + static_cast<std::ptrdiff_t>(std::min(demand.size(), MostToldDemands));
-    std::partial_sort(demand.begin(), told, demand.end(),
+    std::partial_sort(demand.begin(), reported, demand.end(),
                       [](const CustomerDemand &a, const CustomerDemand &b) {
                           return a.tokensPerSecond > b.tokensPerSecond;
                       });
-    demand.erase(told, demand.end());
+    demand.erase(reported, demand.end());
     return demand;
 }
 
@@ -105,16 +106,16 @@
     const auto own = m_own.find(customer);
     const double ownRate = own == m_own.end() ? 0 : own->second.demand.rate(now);
     double others = 0;
-    std::uint32_t heard = 0;
+    std::uint32_t reporting = 0;
     for (const auto &[id, peer] : m_peers) {
-        if (now - peer.heardAt > PeerLoadLife) {
+        if (now - peer.receivedAt > PeerLoadLife) {
             continue;
         }
-        ++heard;
-        const auto told = peer.demand.find(customer);
-        others += told == peer.demand.end() ? 0 : told->second;
+        ++reporting;
+        const auto reported = peer.demand.find(customer);
+        others += reported == peer.demand.end() ? 0 : reported->second;
     }
-    return demandShare(ownRate, others, heard, liveNodes);
+    return demandShare(ownRate, others, reporting, liveNodes);
 }
 
 } // namespace vanilladyke
--- a/src/vanilladyke/policy/ejection.cpp
+++ b/src/vanilladyke/policy/ejection.cpp
@@ -6,9 +6,10 @@
 
 namespace {
 
-/// Weight of one answer in the averaged slowness: ten answers outweigh what was before.
-constexpr double SlownessRate = 0.2;
-/// Predictions below this say more about scheduling than about the engine.
+/// Weight of one answer in the averaged slowdown: ten answers outweigh earlier ones.
+constexpr double SlowdownRate = 0.2;
+/// Shorter predictions are raised to this: below it the ratio reflects scheduling rather than the
+/// engine.
 constexpr Duration LeastPrediction = std::chrono::milliseconds(20);
 
 bool holds(const EngineView &engine, const ModelId &model)
@@ -30,23 +31,23 @@
     return static_cast<std::size_t>(static_cast<double>(engines) * fraction);
 }
 
-bool Ejection::observe(const ExchangeObservation &seen, const Fleet &fleet, TimePoint now)
+bool Ejection::observe(const ExchangeObservation &outcome, const Fleet &fleet, TimePoint now)
 {
-    Record &record = m_records[seen.engine];
+    Record &record = m_records[outcome.engine];
     if (now < record.endsAt) {
-        return false; // the outcome of work from before the ejection
+        return false; // the request was sent before the ejection
     }
-    if (seen.failed) {
+    if (outcome.failed) {
         ++record.failuresInRow;
     } else {
-        const double ratio = secondsOf(seen.firstToken)
-                             / secondsOf(std::max(seen.predictedFirstToken, LeastPrediction));
+        const double ratio = secondsOf(outcome.firstToken)
+                             / secondsOf(std::max(outcome.predictedFirstToken, LeastPrediction));
         record.failuresInRow = 0;
-        record.slowness += SlownessRate * (ratio - record.slowness);
+        record.slowdown += SlowdownRate * (ratio - record.slowdown);
         ++record.samples;
     }
-    const bool due = record.failuresInRow >= FailuresToEject || isSlow(seen.engine, fleet);
-    const EngineView *engine = findEngine(fleet, seen.engine);
+    const bool due = record.failuresInRow >= FailuresToEject || isSlow(outcome.engine, fleet);
+    const EngineView *engine = findEngine(fleet, outcome.engine);
     if (!due || engine == nullptr || !withinCap(*engine, fleet, now)) {
         return false;
     }
@@ -58,7 +59,7 @@
 {
     const Record &own = m_records.at(engine);
     const EngineView *view = findEngine(fleet, engine);
-    if (own.samples < SamplesToJudge || own.slowness < SlowFactor || view == nullptr) {
+    if (own.samples < SamplesToJudge || own.slowdown < SlowFactor || view == nullptr) {
         return false;
     }
     std::vector<double> others;
@@ -67,15 +68,15 @@
         const bool comparable = other.id != engine && record != m_records.end()
                                 && record->second.samples >= SamplesToJudge;
         if (comparable && other.models == view->models) {
-            others.push_back(record->second.slowness);
+            others.push_back(record->second.slowdown);
         }
     }
     if (others.empty()) {
         return false;
     }
-    const auto middle = others.begin() + static_cast<std::ptrdiff_t>(others.size() / 2);
-    std::nth_element(others.begin(), middle, others.end());
-    return own.slowness > SlowFactor * *middle;
+    const auto median = others.begin() + static_cast<std::ptrdiff_t>(others.size() / 2);
+    std::nth_element(others.begin(), median, others.end());
+    return own.slowdown > SlowFactor * *median;
 }
 
 bool Ejection::withinCap(const EngineView &engine, const Fleet &fleet, TimePoint now) const
@@ -96,7 +97,8 @@
 
 void Ejection::eject(Record &record, TimePoint now) const
 {
-    // An engine that stayed well for as long as its last back-off starts over.
+    // The back-off starts over for an engine that stayed healthy for its last back-off plus
+    // RampTime.
     const bool relapsed =
             record.backoff > Duration(0) && now - record.endsAt < record.backoff + RampTime;
     record.backoff = relapsed ? std::min(2 * record.backoff, LongestBackoff) : FirstBackoff;
@@ -104,7 +106,7 @@
     record.endsAt = now + record.backoff;
     record.failuresInRow = 0;
     record.samples = 0;
-    record.slowness = 1.0;
+    record.slowdown = 1.0;
 }
 
 void Ejection::fit(const Fleet &fleet, TimePoint now)
--- a/src/vanilladyke/policy/ejection_test.cpp
+++ b/src/vanilladyke/policy/ejection_test.cpp
@@ -44,9 +44,9 @@
     return ejection.observe({engineAt(engine), true, milliseconds(100), {}}, fleet, now);
 }
 
-// An engine resets every connection at once and so always looks idle. Users would see a share of
-// their requests fail until somebody took it out by hand.
-TEST(Ejection, TakesOutAnEngineThatFailsAndLetsItReturnSlowly)
+// An engine resets every connection at once and therefore always looks idle. A share of all
+// requests would fail until an operator removed it.
+TEST(Ejection, EjectsAFailingEngineAndRampsItUpAgain)
 {
     const Fleet fleet = fleetOf(4, 0.3);
     Ejection ejection;
@@ -62,9 +62,9 @@
     EXPECT_EQ(ejection.allowance(engineAt(0), back + Ejection::RampTime), 1);
 }
 
-// An engine's disk or cooling fails and it answers ten times slower, while it reports itself well.
-// Its callers wait for their first token long past what the others need.
-TEST(Ejection, TakesOutASlowEngineButNobodyWhenAllAreSlow)
+// An engine's disk or cooling fails and it answers ten times slower while reporting itself healthy.
+// Its callers would wait much longer for their first token than those of the other engines.
+TEST(Ejection, EjectsASlowEngineButNoneWhenAllAreSlow)
 {
     const Fleet fleet = fleetOf(4, 0.3);
     Ejection oneSlow;
@@ -83,8 +83,8 @@
     }
 }
 
-// An engine that never gets well comes back again and again; each return costs some requests, so
-// the returns have to become rarer.
+// An engine that never recovers returns again and again. Each return fails some requests, so
+// returns must become rarer.
 TEST(Ejection, GrowsTheBackoffOfAnEngineThatFailsAgain)
 {
     const Fleet fleet = fleetOf(4, 0.3);
@@ -101,9 +101,9 @@
     }
 }
 
-// Half of the engines fail together, as when a switch dies. Ejecting them all would put their load
-// on the rest; and a fleet that then shrinks must take some back.
-TEST(Ejection, TakesBackEnginesWhenTheFleetShrinks)
+// Half of the engines fail together, as after a switch failure. Ejecting all of them would overload
+// the rest, and a fleet that shrinks afterwards must reinstate some.
+TEST(Ejection, ReinstatesEnginesWhenTheFleetShrinks)
 {
     const Fleet fleet = fleetOf(10, 0.3);
     Ejection ejection;
--- a/src/vanilladyke/policy/exchange_state.cpp
+++ b/src/vanilladyke/policy/exchange_state.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::array StatusesOfRefusal{400, 401, 403, 404, 405, 411, 413, 414, 415, 422, 429, 431};
+constexpr std::array RefusalStatuses{400, 401, 403, 404, 405, 411, 413, 414, 415, 422, 429, 431};
 
 } // namespace
 
@@ -17,46 +17,48 @@
         return;
     }
     if (event == ExchangeEvent::SendStarted) {
-        // A try that was never settled may still reach its server while the next one is under way.
-        m_doubt = m_doubt || m_trying;
-        m_trying = true;
+        // An attempt without an outcome may still reach its server while the next one is in
+        // progress.
+        m_outcomeUnknown = m_outcomeUnknown || m_attemptPending;
+        m_attemptPending = true;
         m_stage = ExchangeStage::MayBeSent;
         return;
     }
-    if (!m_trying) {
+    if (!m_attemptPending) {
         return;
     }
     switch (event) {
     case ExchangeEvent::ConnectFailed:
-        endTry(m_refused ? ExchangeStage::Refused : ExchangeStage::NothingSent);
+        endAttempt(m_refused ? ExchangeStage::Refused : ExchangeStage::NothingSent);
         break;
     case ExchangeEvent::RefusalReceived:
         m_refused = true;
-        endTry(ExchangeStage::Refused);
+        endAttempt(ExchangeStage::Refused);
         break;
     case ExchangeEvent::AnswerReceived:
-        m_trying = false;
+        m_attemptPending = false;
         m_stage = ExchangeStage::Answered;
         break;
     case ExchangeEvent::ConnectionLost:
-        m_doubt = true;
-        endTry(ExchangeStage::MayBeSent);
+        m_outcomeUnknown = true;
+        endAttempt(ExchangeStage::MayBeSent);
         break;
     case ExchangeEvent::SendStarted:
         break;
     }
 }
 
-void ExchangeState::endTry(ExchangeStage settled)
+void ExchangeState::endAttempt(ExchangeStage settled)
 {
-    m_trying = false;
-    m_stage = m_doubt ? ExchangeStage::MayBeSent : settled;
+    m_attemptPending = false;
+    m_stage = m_outcomeUnknown ? ExchangeStage::MayBeSent : settled;
 }
 
 Ran ExchangeState::ran() const
 {
-    const bool clear = m_stage == ExchangeStage::NothingSent || m_stage == ExchangeStage::Refused;
-    return clear ? Ran::No : Ran::Unknown;
+    const bool provablyNotRun =
+            m_stage == ExchangeStage::NothingSent || m_stage == ExchangeStage::Refused;
+    return provablyNotRun ? Ran::No : Ran::Unknown;
 }
 
 std::string_view toString(ExchangeStage stage)
@@ -76,8 +78,8 @@
 
 bool provesRefusal(int httpStatus)
 {
-    return std::find(StatusesOfRefusal.begin(), StatusesOfRefusal.end(), httpStatus)
-           != StatusesOfRefusal.end();
+    return std::find(RefusalStatuses.begin(), RefusalStatuses.end(), httpStatus)
+           != RefusalStatuses.end();
 }
 
 } // namespace vanilladyke
--- a/src/vanilladyke/policy/exchange_state_test.cpp
+++ b/src/vanilladyke/policy/exchange_state_test.cpp
@@ -22,7 +22,8 @@
     return state;
 }
 
-/// What truly became of the tries, told without the machine's own flags.
+/// Reference model: derives whether the call may have run from the events, without the state
+/// machine's flags.
 bool mayHaveRun(const std::vector<ExchangeEvent> &events)
 {
     bool open = false;
@@ -44,7 +45,7 @@
     return may || open;
 }
 
-TEST(ExchangeState, EveryTransitionOfOneTry)
+TEST(ExchangeState, EveryTransitionOfOneAttempt)
 {
     EXPECT_EQ(after({}).stage(), ExchangeStage::NothingSent);
     EXPECT_EQ(after({SendStarted}).stage(), ExchangeStage::MayBeSent);
@@ -54,16 +55,17 @@
     EXPECT_EQ(after({SendStarted, ConnectionLost}).stage(), ExchangeStage::MayBeSent);
 }
 
-// The first server resets the connection after it got the call, and the second has no slot and
-// says so. A user told "not run" would book again and pay twice, so the first try's doubt stays.
-TEST(ExchangeState, ALostTryLeavesItsDoubtWhateverFollows)
+// The first server resets the connection after receiving the call; the second has no slot and
+// refuses it. A caller told "not run" would send the call again and it would run twice, so the
+// outcome must stay unknown.
+TEST(ExchangeState, ALostAttemptLeavesTheOutcomeUnknown)
 {
     for (const ExchangeEvent last : AllEvents) {
         EXPECT_EQ(after({SendStarted, ConnectionLost, SendStarted, last}).ran(), Ran::Unknown);
     }
 }
 
-TEST(ExchangeState, AnEventWithoutATryChangesNothing)
+TEST(ExchangeState, AnEventWithoutAnAttemptChangesNothing)
 {
     for (const ExchangeEvent event : AllEvents) {
         if (event != SendStarted) {
@@ -74,7 +76,7 @@
     }
 }
 
-TEST(ExchangeState, EverySequenceUpToSixEventsTellsTheTruth)
+TEST(ExchangeState, EverySequenceUpToSixEventsMatchesTheReference)
 {
     std::vector<std::vector<ExchangeEvent>> sequences{{}};
     for (int length = 0; length <= 6; ++length) {
@@ -90,7 +92,7 @@
     }
 }
 
-RC_GTEST_PROP(ExchangeState, LongSequencesTellTheTruth, ())
+RC_GTEST_PROP(ExchangeState, LongSequencesMatchTheReference, ())
 {
     const auto events =
             *rc::gen::container<std::vector<ExchangeEvent>>(rc::gen::elementOf(AllEvents));
@@ -103,7 +105,8 @@
         EXPECT_TRUE(!provesRefusal(status) || (status >= 400 && status < 500)) << status;
     }
     EXPECT_TRUE(provesRefusal(429));
-    EXPECT_FALSE(provesRefusal(408)); // the server waited for the rest of a call it may hold
+    EXPECT_FALSE(
+            provesRefusal(408)); // the server timed out on a call that it may have received in part
     EXPECT_FALSE(provesRefusal(409));
     EXPECT_FALSE(provesRefusal(503));
 }
--- a/src/vanilladyke/policy/fair_queue.cpp
+++ b/src/vanilladyke/policy/fair_queue.cpp
@@ -12,7 +12,7 @@
     return static_cast<std::size_t>(job.priority);
 }
 
-/// Rounds until so much may be spent.
+/// Number of rounds until a deficit of this size is filled.
 std::uint64_t roundsFor(Duration missing, Duration perRound)
 {
     if (missing <= Duration(0)) {
@@ -30,26 +30,26 @@
 
 bool FairQueue::push(const QueuedJob &job)
 {
-    PriorityClass &of = m_classes.at(classOf(job));
-    const auto found = of.lines.find(job.customer);
-    const std::size_t own = found == of.lines.end() ? 0 : found->second.jobs.size();
+    PriorityClass &priorityClass = m_classes.at(classOf(job));
+    const auto found = priorityClass.customers.find(job.customer);
+    const std::size_t own = found == priorityClass.customers.end() ? 0 : found->second.jobs.size();
     const std::size_t room = m_capacity - m_jobs.size();
     if (own >= room) {
         return false;
     }
     m_jobs.emplace(job.ticket, job);
     m_deadlines.insert({job.latestStart, job.ticket});
-    const auto [entry, isNew] = of.lines.try_emplace(job.customer);
-    Line &line = entry->second;
+    const auto [entry, isNew] = priorityClass.customers.try_emplace(job.customer);
+    CustomerQueue &queue = entry->second;
     if (isNew) {
-        line.weight = job.weight;
-        line.roundAt = of.round;
-        of.weight += job.weight;
-    }
-    line.jobs.insert({job.latestStart, job.ticket});
-    line.work += job.cost;
-    of.work += job.cost;
-    schedule(of, job.customer, line);
+        queue.weight = job.weight;
+        queue.roundAt = priorityClass.round;
+        priorityClass.weight += job.weight;
+    }
+    queue.jobs.insert({job.latestStart, job.ticket});
+    queue.work += job.cost;
+    priorityClass.work += job.cost;
+    schedule(priorityClass, job.customer, queue);
     return true;
 }
 
@@ -59,18 +59,19 @@
     if (!next) {
         return std::nullopt;
     }
-    PriorityClass &of = m_classes.at(*next);
-    const Turn turn = *of.turns.begin();
-    Line &line = of.lines.at(turn.customer);
-    of.round = std::max(of.round, turn.round);
-    const QueuedJob job = headOf(line);
-    line.deficit += static_cast<std::int64_t>(of.round - line.roundAt) * quantumOf(line.weight);
-    line.deficit -= job.cost;
-    line.roundAt = of.round;
-    of.turns.erase(turn);
-    line.turnOrder = 0;
+    PriorityClass &priorityClass = m_classes.at(*next);
+    const Turn turn = *priorityClass.turns.begin();
+    CustomerQueue &queue = priorityClass.customers.at(turn.customer);
+    priorityClass.round = std::max(priorityClass.round, turn.round);
+    const QueuedJob job = headOf(queue);
+    queue.deficit += static_cast<std::int64_t>(priorityClass.round - queue.roundAt)
+                     * quantumOf(queue.weight);
+    queue.deficit -= job.cost;
+    queue.roundAt = priorityClass.round;
+    priorityClass.turns.erase(turn);
+    queue.turnOrder = 0;
     charge(*next, job.cost);
-    return takeOut(job.ticket);
+    return removeJob(job.ticket);
 }
 
 bool FairQueue::remove(QueueTicket ticket)
@@ -78,7 +79,7 @@
     if (!m_jobs.contains(ticket)) {
         return false;
     }
-    takeOut(ticket);
+    removeJob(ticket);
     return true;
 }
 
@@ -86,27 +87,30 @@
 {
     std::vector<QueuedJob> late;
     while (!m_deadlines.empty() && m_deadlines.begin()->latestStart < now) {
-        late.push_back(takeOut(m_deadlines.begin()->ticket));
+        late.push_back(removeJob(m_deadlines.begin()->ticket));
     }
     return late;
 }
 
 Duration FairQueue::workAhead(const QueuedJob &job, const ExpectedWork &expected) const
 {
-    const PriorityClass &of = m_classes.at(classOf(job));
-    const auto found = of.lines.find(job.customer);
-    const Duration waiting = found == of.lines.end() ? Duration(0) : found->second.work;
+    const PriorityClass &priorityClass = m_classes.at(classOf(job));
+    const auto found = priorityClass.customers.find(job.customer);
+    const Duration waiting =
+            found == priorityClass.customers.end() ? Duration(0) : found->second.work;
     const Duration own = waiting + expected.ofCustomer;
-    return withOtherClasses(job, fairWork(of, job, own, of.work + expected.ofAll));
+    return withOtherClasses(job,
+                            fairWork(priorityClass, job, own, priorityClass.work + expected.ofAll));
 }
 
-/// While the customer's own work and this job are served, every other customer of the class gets
-/// at most as much by weight; and none gets more than it has.
-Duration FairQueue::fairWork(const PriorityClass &of, const QueuedJob &job, Duration own,
+/// Weighted fair share of the class served before the job: while the customer's own work and this
+/// job are served, every other customer of the class gets at most as much in proportion to its
+/// weight, and no customer gets more than it has queued.
+Duration FairQueue::fairWork(const PriorityClass &priorityClass, const QueuedJob &job, Duration own,
                              Duration all)
 {
-    const bool present = of.lines.contains(job.customer);
-    const double weights = of.weight + (present ? 0 : job.weight);
+    const bool present = priorityClass.customers.contains(job.customer);
+    const double weights = priorityClass.weight + (present ? 0 : job.weight);
     const double share = secondsOf(own + job.cost) * weights / job.weight;
     return std::min(all, spanOfSeconds(share) - job.cost);
 }
@@ -118,7 +122,7 @@
     for (std::size_t i = 0; i < Classes; ++i) {
         if (i < classOf(job)) {
             above += m_classes.at(i).work;
-        } else if (i > classOf(job) && !m_classes.at(i).lines.empty()) {
+        } else if (i > classOf(job) && !m_classes.at(i).customers.empty()) {
             lowerWaiting += 1;
         }
     }
@@ -131,13 +135,13 @@
 {
     std::vector<std::pair<QueuedJob, Duration>> all;
     all.reserve(m_jobs.size());
-    for (const PriorityClass &of : m_classes) {
-        for (const auto &[customer, line] : of.lines) {
+    for (const PriorityClass &priorityClass : m_classes) {
+        for (const auto &[customer, queue] : priorityClass.customers) {
             Duration own{};
-            for (const ByDeadline &entry : line.jobs) {
+            for (const ByDeadline &entry : queue.jobs) {
                 const QueuedJob &job = m_jobs.at(entry.ticket);
-                const Duration others = of.work - line.work;
-                const Duration ahead = fairWork(of, job, own, own + others);
+                const Duration others = priorityClass.work - queue.work;
+                const Duration ahead = fairWork(priorityClass, job, own, own + others);
                 all.emplace_back(job, withOtherClasses(job, ahead));
                 own += job.cost;
             }
@@ -157,8 +161,8 @@
 Duration FairQueue::work() const
 {
     Duration sum{};
-    for (const PriorityClass &of : m_classes) {
-        sum += of.work;
+    for (const PriorityClass &priorityClass : m_classes) {
+        sum += priorityClass.work;
     }
     return sum;
 }
@@ -167,76 +171,78 @@
 {
     std::optional<std::size_t> first;
     for (std::size_t i = Classes; i-- > 0;) {
-        const PriorityClass &of = m_classes.at(i);
-        if (of.turns.empty()) {
+        const PriorityClass &priorityClass = m_classes.at(i);
+        if (priorityClass.turns.empty()) {
             continue;
         }
         first = i;
-        const Line &line = of.lines.at(of.turns.begin()->customer);
-        if (of.owed >= secondsOf(headOf(line).cost)) {
+        const CustomerQueue &queue =
+                priorityClass.customers.at(priorityClass.turns.begin()->customer);
+        if (priorityClass.credit >= secondsOf(headOf(queue).cost)) {
             return i;
         }
     }
     return first;
 }
 
-const QueuedJob &FairQueue::headOf(const Line &line) const
+const QueuedJob &FairQueue::headOf(const CustomerQueue &queue) const
 {
-    return m_jobs.at(line.jobs.begin()->ticket);
+    return m_jobs.at(queue.jobs.begin()->ticket);
 }
 
-void FairQueue::schedule(PriorityClass &of, const CustomerId &customer, Line &line)
+void FairQueue::schedule(PriorityClass &priorityClass, const CustomerId &customer,
+                         CustomerQueue &queue)
 {
-    const Duration missing = headOf(line).cost - line.deficit;
-    const std::uint64_t affordable = line.roundAt + roundsFor(missing, quantumOf(line.weight));
-    const std::uint64_t round = std::max(of.round, affordable);
-    if (line.turnOrder != 0) {
-        if (line.turnRound == round) {
+    const Duration missing = headOf(queue).cost - queue.deficit;
+    const std::uint64_t affordable = queue.roundAt + roundsFor(missing, quantumOf(queue.weight));
+    const std::uint64_t round = std::max(priorityClass.round, affordable);
+    if (queue.turnOrder != 0) {
+        if (queue.turnRound == round) {
             return;
         }
-        of.turns.erase({line.turnRound, line.turnOrder, customer});
+        priorityClass.turns.erase({queue.turnRound, queue.turnOrder, customer});
     }
-    line.turnRound = round;
-    line.turnOrder = ++m_order;
-    of.turns.insert({line.turnRound, line.turnOrder, customer});
+    queue.turnRound = round;
+    queue.turnOrder = ++m_order;
+    priorityClass.turns.insert({queue.turnRound, queue.turnOrder, customer});
 }
 
 void FairQueue::charge(std::size_t served, Duration cost)
 {
     for (std::size_t i = 0; i < Classes; ++i) {
-        PriorityClass &of = m_classes.at(i);
+        PriorityClass &priorityClass = m_classes.at(i);
         if (i == served) {
-            of.owed = std::max(0.0, of.owed - secondsOf(cost));
-        } else if (!of.lines.empty()) {
-            of.owed += FloorShare * secondsOf(cost);
+            priorityClass.credit = std::max(0.0, priorityClass.credit - secondsOf(cost));
+        } else if (!priorityClass.customers.empty()) {
+            priorityClass.credit += FloorShare * secondsOf(cost);
         }
     }
 }
 
-QueuedJob FairQueue::takeOut(QueueTicket ticket)
+QueuedJob FairQueue::removeJob(QueueTicket ticket)
 {
     const auto found = m_jobs.find(ticket);
     QueuedJob job = found->second;
-    PriorityClass &of = m_classes.at(classOf(job));
-    const auto entry = of.lines.find(job.customer);
-    Line &line = entry->second;
+    PriorityClass &priorityClass = m_classes.at(classOf(job));
+    const auto entry = priorityClass.customers.find(job.customer);
+    CustomerQueue &queue = entry->second;
     m_jobs.erase(found);
     m_deadlines.erase({job.latestStart, ticket});
-    line.jobs.erase({job.latestStart, ticket});
-    line.work -= job.cost;
-    of.work -= job.cost;
-    if (!line.jobs.empty()) {
-        schedule(of, job.customer, line);
+    queue.jobs.erase({job.latestStart, ticket});
+    queue.work -= job.cost;
+    priorityClass.work -= job.cost;
+    if (!queue.jobs.empty()) {
+        schedule(priorityClass, job.customer, queue);
         return job;
     }
-    if (line.turnOrder != 0) {
-        of.turns.erase({line.turnRound, line.turnOrder, job.customer});
+    if (queue.turnOrder != 0) {
+        priorityClass.turns.erase({queue.turnRound, queue.turnOrder, job.customer});
     }
-    of.weight -= line.weight;
-    of.lines.erase(entry);
-    if (of.lines.empty()) {
-        of.weight = 0; // no rounding errors may pile up
-        of.owed = 0;
+    priorityClass.weight -= queue.weight;
+    priorityClass.customers.erase(entry);
+    if (priorityClass.customers.empty()) {
+        priorityClass.weight = 0; // prevents accumulated rounding errors
+        priorityClass.credit = 0;
     }
     return job;
 }
--- a/src/vanilladyke/policy/fair_queue_test.cpp
+++ b/src/vanilladyke/policy/fair_queue_test.cpp
@@ -23,8 +23,8 @@
     }
 };
 
-// One customer sends a hundred requests before a small one sends its first. First come, first
-// served would make the small one wait behind all hundred.
+// A customer sends a hundred requests before a small one sends its first. With first come, first
+// served, the small one would wait behind all hundred.
 TEST(FairQueue, ServesASmallCustomerBesideAHotOne)
 {
     FairQueue queue(1000);
@@ -40,8 +40,8 @@
     EXPECT_LE(before, 1);
 }
 
-// A customer drafts long texts while another asks short questions with the same weight. Charged by
-// the piece, each draft would cost the short questions ten turns.
+// Two customers of the same weight send long drafts and short checks. If jobs were charged by
+// number instead of cost, each draft would delay the checks by ten turns.
 TEST(FairQueue, ChargesLongJobsSoThatShortOnesPass)
 {
     FairQueue queue(1000);
@@ -67,8 +67,8 @@
     EXPECT_EQ(queue.pop()->latestStart, TimePoint(milliseconds(300)));
 }
 
-// Urgent work alone could fill the engines for hours. Bulk work of another customer would then
-// never be served, and its caller would only see it time out.
+// Urgent work alone could fill the engines for hours. Bulk work of another customer would never be
+// served and would time out.
 TEST(FairQueue, LetsNoPriorityClassStarve)
 {
     FairQueue queue(10'000);
@@ -87,8 +87,8 @@
     EXPECT_GE(served["u"], 300);
 }
 
-// A hot customer fills the queue. A customer that comes after must still find room, or its
-// requests are refused although its share of the engines is free.
+// A hot customer fills the queue. A later customer must still find room, or its requests would be
+// refused although it has not used its share of the engines.
 TEST(FairQueue, KeepsRoomForACustomerThatComesLater)
 {
     FairQueue queue(100);
@@ -101,7 +101,7 @@
     EXPECT_TRUE(queue.push(job("small", 100)));
 }
 
-TEST(FairQueue, GivesUpOnlyThoseThatCannotStartInTime)
+TEST(FairQueue, ExpiresOnlyJobsThatCannotStartInTime)
 {
     FairQueue queue(10);
     JobMaker job;
--- a/src/vanilladyke/policy/limits_test.cpp
+++ b/src/vanilladyke/policy/limits_test.cpp
@@ -26,14 +26,14 @@
     return customer;
 }
 
-RC_GTEST_PROP(TokenBucket, GivesOutNoMoreThanRateAndBurstAndTellsTheTruthAboutWhen, ())
+RC_GTEST_PROP(TokenBucket, GrantsAtMostRateAndBurstAndPredictsAvailability, ())
 {
     const double rate = *rc::gen::inRange(1, 1000);
     const double burst = *rc::gen::inRange(1, 1000);
     TokenBucket bucket(rate, burst, Start);
     TimePoint now = Start;
     double taken = 0;
-    double largest = burst; // a demand above the burst leaves a debt
+    double largest = burst; // a demand above the burst leaves a negative level
     for (int i = 0; i < 200; ++i) {
         const double amount = *rc::gen::inRange(1, 500);
         largest = std::max(largest, amount);
@@ -50,9 +50,9 @@
     }
 }
 
-// A customer sends ten times its limit and comes back when it is told. If the times were computed
-// without regard to each other, all would return at the same moment and be refused again.
-TEST(CustomerLimiter, ServesEveryCallerThatComesBackWhenTold)
+// A customer sends ten times its limit and retries at the given times. If the times were computed
+// independently, all callers would retry at the same moment and be refused again.
+TEST(CustomerLimiter, AdmitsEveryRetryAtItsReservedTime)
 {
     CustomerLimiter limiter;
     const Customer customer = limited(100, 100);
@@ -70,8 +70,8 @@
     EXPECT_GE(returns.back() - returns.front(), seconds(8));
 }
 
-// All of a customer's connections reach one of four nodes. A fixed quarter of the limit would
-// refuse three quarters of what it pays for.
+// All connections of a customer reach one of four nodes. A fixed quarter of the limit would refuse
+// three quarters of what the customer pays for.
 TEST(CustomerLimiter, FollowsDemandToTheNodeThatSeesIt)
 {
     CustomerLimiter busy;
@@ -91,9 +91,9 @@
     EXPECT_GT(idle.share(customer.id, 4, now), 0);
 }
 
-// A peer dies, or the link to it, after it told of a large demand. If its word counted for ever,
-// the customer would keep only a small part of its limit.
-TEST(CustomerLimiter, ForgetsAPeerThatFellSilent)
+// A peer crashes or is partitioned after reporting a large demand. If the report were valid for
+// ever, the customer would keep only a small share of its limit.
+TEST(CustomerLimiter, DropsReportsOfAnUnresponsivePeer)
 {
     CustomerLimiter limiter;
     limiter.hear(NodeId("b"), {{CustomerId("brand"), 1000}}, Start);
@@ -103,7 +103,7 @@
     EXPECT_NEAR(limiter.share(customer.id, 1, Start + seconds(6)), 1.0, 1e-9);
 }
 
-RC_GTEST_PROP(DemandShare, AddsUpToTheLimitWhenAllHaveHeardAll, ())
+RC_GTEST_PROP(DemandShare, AddsUpToTheLimitWhenAllPeersHaveReported, ())
 {
     const auto demand =
             *rc::gen::nonEmpty(rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 1000)));
@@ -137,9 +137,9 @@
     }
 }
 
-// An engine with many slots crashes and all its requests fail at once, while the others have room.
-// With savings for eight of them, a user would see most of the others refused.
-TEST(RetryBudget, SavesForTheLossOfTheLargestEngine)
+// An engine with many slots crashes and all its requests fail at once, while the other engines have
+// room. With a cap of eight retries, most of these requests would be refused.
+TEST(RetryBudget, AccumulatesEnoughForTheLossOfTheLargestEngine)
 {
     Fleet fleet;
     auto bundle = std::make_shared<Bundle>();
@@ -159,9 +159,9 @@
     EXPECT_EQ(spent, 64);
 }
 
-// One customer's requests fail whatever is done. Its retries must not use up what another
-// customer needs when an engine breaks under it.
-TEST(RetryBudget, LeavesOtherCustomersTheirs)
+// All requests of one customer fail. Its retries must not use up the budget that another customer
+// needs when an engine fails.
+TEST(RetryBudget, KeepsTheBudgetsOfCustomersApart)
 {
     RetryBudgets budgets;
     for (int i = 0; i < 100; ++i) {
--- a/src/vanilladyke/policy/retry_budget.cpp
+++ b/src/vanilladyke/policy/retry_budget.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 
-/// The rate of earning is averaged over this; it only serves to say when to come back.
+/// Averaging window for the rate of earning, which is only used to compute retry times.
 constexpr Duration RateWindow = std::chrono::seconds(5);
-/// Sums of many fractions miss a whole retry by a rounding error.
+/// Compensates for the rounding error in sums of many fractions.
 constexpr double RoundingTolerance = 1e-9;
-/// What may be saved where no engine is larger; plain services have no slots to go by.
-constexpr double LeastSaved = 10;
+/// Lower bound of the cap on accumulated retries; plain services have no slots to derive it from.
+constexpr double LeastCap = 10;
 
 } // namespace
 
@@ -23,12 +23,13 @@
     const double fade = std::exp(-secondsOf(now - m_at) / secondsOf(RateWindow));
     m_earnedPerSecond = m_earnedPerSecond * fade + terms.fraction / secondsOf(RateWindow);
     m_at = now;
-    m_saved = std::min(std::max(FirstRetries, terms.mostSaved), m_saved + terms.fraction);
+    m_accumulated =
+            std::min(std::max(FirstRetries, terms.mostSaved), m_accumulated + terms.fraction);
 }
 
 bool RetryBudget::available() const
 {
-    return m_saved + RoundingTolerance >= 1;
+    return m_accumulated + RoundingTolerance >= 1;
 }
 
 std::optional<TimePoint> RetryBudget::availableAt(TimePoint now) const
@@ -39,13 +40,13 @@
     if (m_earnedPerSecond <= 0) {
         return std::nullopt;
     }
-    return now + spanOfSeconds((1 - m_saved) / m_earnedPerSecond);
+    return now + spanOfSeconds((1 - m_accumulated) / m_earnedPerSecond);
 }
 
 RetryTerms retryTerms(const Fleet &fleet)
 {
     const double largest = fleet.index ? fleet.index->largestSlots() : 0;
-    return {fleet.bundle->limits.retryFraction, std::max(LeastSaved, largest)};
+    return {fleet.bundle->limits.retryFraction, std::max(LeastCap, largest)};
 }
 
 void RetryBudgets::countFirstTry(const ModelId &model, const CustomerId &customer,
--- a/src/vanilladyke/policy/return_book.cpp
+++ b/src/vanilladyke/policy/return_book.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Weight of one return in the learned share: some fifty of them outweigh what was before, a few
-/// seconds at the rates at which one node refuses.
+/// Weight of one reservation in the learned fraction: about fifty of them outweigh earlier ones,
+/// which takes a few seconds at the refusal rate of one node.
 constexpr double LearningRate = 0.05;
 
 } // namespace
@@ -35,7 +35,7 @@
     for (auto due = dues.begin(); due != dues.end() && due->first <= now; ++due) {
         if (due->second->second.cost >= cost) {
             erase(due->second);
-            learn(true);
+            updateClaimedFraction(true);
             return true;
         }
     }
@@ -46,14 +46,14 @@
 {
     while (!m_returns.empty() && m_returns.begin()->first + ReturnGrace < now) {
         erase(m_returns.begin());
-        learn(false);
+        updateClaimedFraction(false);
     }
 }
 
 double ReturnBook::expected(const CustomerId &customer) const
 {
     const auto own = m_customers.find(customer);
-    return own == m_customers.end() ? 0 : own->second.cost * m_taken;
+    return own == m_customers.end() ? 0 : own->second.cost * m_claimedFraction;
 }
 
 void ReturnBook::erase(Returns::iterator entry)
@@ -69,13 +69,13 @@
     }
     m_returns.erase(entry);
     if (m_returns.empty()) {
-        m_total = 0; // no rounding errors may pile up
+        m_total = 0; // prevents accumulated rounding errors
     }
 }
 
-void ReturnBook::learn(bool taken)
+void ReturnBook::updateClaimedFraction(bool claimed)
 {
-    m_taken += LearningRate * ((taken ? 1.0 : 0.0) - m_taken);
+    m_claimedFraction += LearningRate * ((claimed ? 1.0 : 0.0) - m_claimedFraction);
 }
 
 } // namespace vanilladyke
