--- a/include/vanilladyke/policy/back_off.hpp
+++ b/include/vanilladyke/policy/back_off.hpp
@@ -5,32 +5,35 @@
 
 #include <cstdint>
 
-/// When to call a service of the platform again after it failed.
+/// Back-off after failed calls to a platform service.
 ///
 /// Load pattern: the log, the host list or a store is down or slow for minutes, and every node
-/// calls it. Without this, each client calls again at once: the service comes back to a flood from
-/// all nodes in step, and threads spend their time on calls that run into their deadlines. Spans
-/// double up to a cap, and each is drawn from its upper half at random, so that nodes that failed
-/// together don't return together; the lower half is left out, so that a first retry is no flood.
+/// calls it. Without back-off each client calls again at once: the recovering service is flooded by
+/// all nodes in step, and threads are blocked in calls that run into their deadlines. Intervals
+/// double up to a cap, and each is drawn at random from its upper half, so that nodes that failed
+/// together do not retry together. The lower half is excluded so that the first retries do not
+/// flood the service.
 namespace vanilladyke {
 
-/// @brief Spans of one client.
+/// @brief Retry intervals of one client.
 struct BackOffSpans
 {
-    Duration first = std::chrono::milliseconds(50); ///< a lost packet is worth a quick retry
-    /// After an outage a node notices within this span; bundles are to be in force within seconds.
+    /// Short, to recover quickly from a lost packet.
+    Duration first = std::chrono::milliseconds(50);
+    /// A node detects the end of an outage within this time; bundles must take effect within
+    /// seconds.
     Duration most = std::chrono::milliseconds(1000);
 };
 
-/// @brief The breaker of one client. Pure; a slow answer is reported as a failure at its deadline.
+/// @brief The back-off state of one client. Pure. A slow call counts as failed at its deadline.
 class BackOff
 {
 public:
-    explicit BackOff(BackOffSpans spans = {});
+    explicit BackOff(BackOffSpans intervals = {});
 
-    /// @brief Whether a call may be tried now; while it may not, the service counts as down.
+    /// @brief Whether a call may be made now; until then the service is treated as down.
     [[nodiscard]] bool mayTry(TimePoint now) const { return now >= m_retryAt; }
-    /// @brief When the next call may be tried; long past if it may be now.
+    /// @brief When the next call may be made; in the past if it may be made now.
     [[nodiscard]] TimePoint retryAt() const { return m_retryAt; }
     /// @brief Whether the last call failed.
     [[nodiscard]] bool down() const { return m_failures > 0; }
@@ -39,7 +42,7 @@
     void failed(TimePoint now, Random &random);
 
 private:
-    BackOffSpans m_spans;
+    BackOffSpans m_intervals;
     std::uint32_t m_failures = 0; ///< in a row
     TimePoint m_retryAt = TimePoint::min();
 };
--- a/include/vanilladyke/policy/in_flight.hpp
+++ b/include/vanilladyke/policy/in_flight.hpp
@@ -7,40 +7,40 @@
 #include <unordered_map>
 #include <vector>
 
-/// This node's own work at the engines, to correct load reports that lag.
+/// Tracks this node's requests in flight at the engines, to correct load reports that lag.
 ///
-/// Load pattern: a report is some hundred milliseconds old, and a burst arrives inside that time.
-/// Without the correction every request of the burst goes to the engine that was idle when it
+/// Load pattern: a report is several hundred milliseconds old, and a burst arrives within that
+/// time. Without the correction every request of the burst goes to the engine that was idle when it
 /// reported.
 namespace vanilladyke {
 
-/// @brief Names one piece of work that is under way.
+/// @brief Identifies one request in flight.
 struct InFlightTicket
 {
     EngineKey engine{};
     std::uint64_t number = 0;
 };
 
-/// @brief Work that a report of a given time can't have counted.
+/// @brief Work that a report measured at a given time cannot include.
 struct UnreportedWork
 {
-    std::uint64_t prefillTokens = 0; ///< still to be computed
+    std::uint64_t prefillTokens = 0; ///< not yet computed
     std::uint32_t requests = 0;
 };
 
-/// @brief Requests of this node that have not ended, by engine.
+/// @brief Unfinished requests of this node, by engine.
 class InFlight
 {
 public:
-    /// @param prefillTokens tokens that the engine is expected to compute for it
+    /// @param prefillTokens number of prompt tokens that the engine is expected to compute
     [[nodiscard]] InFlightTicket start(EngineKey engine, std::uint64_t prefillTokens,
                                        TimePoint now);
-    /// @brief The first token came: nothing is left to compute.
+    /// @brief Records the first token: the prefill is complete.
     void firstToken(const InFlightTicket &ticket);
     void finish(const InFlightTicket &ticket);
     /// @brief Work started after the engine measured its load.
     [[nodiscard]] UnreportedWork since(EngineKey engine, TimePoint measuredAt) const;
-    /// @brief All requests at the engine.
+    /// @brief Number of unfinished requests of this node at the engine.
     [[nodiscard]] std::uint32_t count(EngineKey engine) const;
 
 private:
@@ -52,7 +52,7 @@
     };
 
     std::uint64_t m_next = 0;
-    std::unordered_map<EngineKey, std::vector<Work>> m_work; ///< each by time of start
+    std::unordered_map<EngineKey, std::vector<Work>> m_work; ///< each vector ordered by start time
 };
 
 } // namespace vanilladyke
--- a/include/vanilladyke/policy/mechanism.hpp
+++ b/include/vanilladyke/policy/mechanism.hpp
@@ -4,34 +4,34 @@
 #include <optional>
 #include <string_view>
 
-/// Mechanisms of a node's decisions that can be switched off one by one, to measure what each is
-/// worth. A node in service has all of them on.
+/// Mechanisms of a node's decisions that can be switched off one by one, to measure the effect of
+/// each. In production all of them are on.
 namespace vanilladyke {
 
-/// @brief What can be switched off.
+/// @brief A mechanism that can be switched off.
 enum class Mechanism {
-    Homes,            ///< a shared part has a first engine that all nodes agree on
-    NestedHomes,      ///< parts that begin alike have one home
-    CopyCharge,       ///< a charge for a second copy of a part in the engines' memories
+    Homes,            ///< a shared part has a preferred engine, the same for all nodes
+    NestedHomes,      ///< parts with a common beginning share one preferred engine
+    CopyCharge,       ///< cost of a second copy of a part in the engines' memory
     KeptStore,        ///< saving to and fetching from the kept-cache store
     EngineFetch,      ///< fetching a part from another engine
-    Urgency,          ///< what is less urgent does not count as waited for
-    Pace,             ///< the engines' reading speed is learned
-    Slowness,         ///< how much slower than its service an engine is, is learned
-    WaitLimit,        ///< a request that would wait for a part of its target is refused
-    LoadNews,         ///< what other nodes have at engines counts as this node's own
-    PlacementNews,    ///< where other nodes sent shared parts is believed
-    OwnDataCentre,    ///< a charge for engines in another data centre
-    SilenceCharge,    ///< a charge for engines that answer nothing
-    FailureCharge,    ///< a charge for engines that fail requests
-    OldWeightsCharge, ///< a charge for engines whose weights were replaced
-    PacedRollout,     ///< a part of the engines loads at a time
-    Withdrawal,       ///< a request that has not begun when its weights' time ends is withdrawn
-    SecondSends,      ///< a request that may be repeated goes to a second engine
-    Resumes,          ///< a stream that broke off goes on at another engine
-    EngineLimits,     ///< engines get no more than the limit that they name
-    Quarantine,       ///< requests under which engines end are sent to no engine
-    SharedReading,    ///< one node reads the store for others
+    Urgency,          ///< less urgent requests are not counted as backlog ahead
+    Pace,             ///< learns the prefill throughput of engines
+    Slowness,         ///< learns the slowdown of an engine relative to its service
+    WaitLimit,        ///< refuses a request whose wait exceeds a fraction of its target
+    LoadNews,         ///< load updates of other nodes count like own load
+    PlacementNews,    ///< uses the placements of shared parts that other nodes reported
+    OwnDataCentre,    ///< cost of engines in another data centre
+    SilenceCharge,    ///< cost of unresponsive engines
+    FailureCharge,    ///< cost of engines that fail requests
+    OldWeightsCharge, ///< cost of engines whose weights were replaced
+    PacedRollout,     ///< only a fraction of the engines loads weights at a time
+    Withdrawal,       ///< withdraws requests not started when the time of their weights ends
+    SecondSends,      ///< retries repeatable requests on a second engine
+    Resumes,          ///< continues a broken stream on another engine
+    EngineLimits,     ///< keeps to the request limit that an engine announces
+    Quarantine,       ///< sends no request under which engines terminated
+    SharedReading,    ///< one node reads the store on behalf of others
 };
 
 /// @brief A mechanism and its name in the settings.
--- a/include/vanilladyke/policy/return_book.hpp
+++ b/include/vanilladyke/policy/return_book.hpp
@@ -11,7 +11,7 @@
 ///
 /// Load pattern: sustained overload, where refused callers retry at the time they were given.
 /// Without reservations every refused caller is given the same retry time, all retry together, and
-/// all but one find the capacity claimed again, so the retry time was wrong. Each refusal therefore
+/// all but one find the capacity taken again, so the retry time was wrong. Each refusal therefore
 /// reserves its cost, and later refusals and new requests count reserved cost as backlog ahead of
 /// them.
 ///
--- a/include/vanilladyke/policy/route_table.hpp
+++ b/include/vanilladyke/policy/route_table.hpp
@@ -10,31 +10,32 @@
 /// Look-ups in one version of the routing configuration.
 namespace vanilladyke {
 
-/// @brief Tokens of KV cache a millisecond; 0 where the configuration doesn't tell.
+/// @brief KV-cache transfer rates in tokens per millisecond; 0 if not configured.
 struct TransferRates
 {
     double engine = 0;
-    double kept = 0;
+    double kept = 0; ///< of the kept-cache store
 };
 
-/// @brief An index of a configuration; immutable, so that threads may share it.
+/// @brief Index of a configuration. Immutable, so that threads may share it.
 class RouteTable
 {
 public:
     explicit RouteTable(RoutingConfig config);
 
     [[nodiscard]] const RoutingConfig &config() const { return m_config; }
-    /// @brief The route of the host with the longest prefix that begins the path; null if none.
-    /// @param host as the caller sent it; a port and upper case are ignored
+    /// @brief The route of the host with the longest path prefix that matches; null if none.
+    /// @param host as received; the port and upper case are ignored
     [[nodiscard]] const Route *find(std::string_view host, std::string_view path) const;
     [[nodiscard]] const RoutedCustomer *customerOf(const std::string &key) const;
     [[nodiscard]] const ServiceSpec *service(const ServiceId &id) const;
     /// @brief The kept-cache stores that the configuration names.
     [[nodiscard]] std::vector<KeptStore> keptStores() const;
-    /// @brief How fast engines and the kept-cache store hand out KV cache, in tokens a millisecond.
+    /// @brief The highest configured rates at which engines and the kept-cache store transfer KV
+    /// cache.
     [[nodiscard]] TransferRates transferRates() const;
     [[nodiscard]] bool needsKeys() const { return !m_config.customers.empty(); }
-    /// @brief Takes one of the route's services by weight. @param draw in [0, 1)
+    /// @brief Selects one of the route's services by weight. @param draw random number in [0, 1)
     [[nodiscard]] static ServiceId pickService(const Route &route, double draw);
 
 private:
--- a/include/vanilladyke/policy/slot_forecast.hpp
+++ b/include/vanilladyke/policy/slot_forecast.hpp
@@ -5,74 +5,79 @@
 #include <array>
 #include <unordered_map>
 
-/// When a full engine gives a slot back.
+/// Forecast of when a full engine releases a slot.
 ///
-/// Load pattern: a prefix gets hot, and its home fills up within a second. All that runs there
-/// began together: for most of an answer's time no slot is free, then many are at once. A mean (one
-/// slot in each service time divided by slots) promises the next callers a slot at once, and each
-/// node sends its next ones there while other engines are idle: they all come late.
+/// Load pattern: a prefix becomes hot, and its preferred engine fills up within a second. All
+/// requests there started together: for most of the duration of an answer no slot is free, then
+/// many are released at once. A mean (one slot per service time divided by the number of slots)
+/// predicts a free slot at once for the next callers, and every node sends its next requests there
+/// while other engines are idle: all of them are late.
 ///
-/// What the forecast goes by: since when requests run, as successive reports show it; how long
-/// requests of this node kept their slots lately; what other nodes most likely sent there since the
-/// last report, which is as much as this node did.
+/// The forecast is based on the start times of the running requests, as shown by successive load
+/// reports; on how long requests of this node recently held their slots; and on an estimate of what
+/// other nodes have sent there since the last report, which is as much as this node sent.
 namespace vanilladyke {
 
-/// @brief How long requests of this node lately kept their slots after the first token. Pure.
-/// In tokens, so that engines of different speeds teach the same.
+/// @brief Distribution of how long recent requests of this node held their slots after the first
+/// token. Pure. Measured in tokens, so that samples from engines of different speeds are
+/// comparable.
 class AnswerLengths
 {
 public:
     static constexpr std::size_t MostKept = 32;
-    /// While fewer have ended, those that have are the short ones.
+    /// Minimum number of samples. The first requests to end are the short ones, so fewer samples
+    /// are biased.
     static constexpr std::size_t LeastKnown = 8;
 
     void ended(double tokens);
     [[nodiscard]] bool isKnown() const { return m_count >= LeastKnown; }
-    /// @brief The part of answers that are longer. Only if they are known.
+    /// @brief The fraction of answers that are longer. Requires isKnown().
     [[nodiscard]] double partLongerThan(double tokens) const;
     [[nodiscard]] double mean() const { return m_mean; }
 
 private:
-    std::array<double, MostKept> m_latest{}; ///< a ring
-    std::array<double, MostKept> m_sorted{}; ///< the first m_count of them
+    std::array<double, MostKept> m_latest{}; ///< ring buffer
+    std::array<double, MostKept> m_sorted{}; ///< sorted copy; the first m_count are valid
     std::size_t m_next = 0;
     std::size_t m_count = 0;
     double m_mean = 0;
 };
 
-/// @brief What one node knows of the slots of all engines. Pure.
+/// @brief One node's forecast for the slots of all engines. Pure.
 class SlotForecast
 {
 public:
-    /// An engine to which nothing was sent for so long is forgotten.
+    /// The entry of an engine is dropped after this time without a request.
     static constexpr Duration Life = std::chrono::seconds(30);
 
-    /// @brief A request of this node goes there.
+    /// @brief Records a request of this node to the engine.
     void sent(EngineKey engine, TimePoint now);
-    /// @brief A request of this node gave its slot back. @param tokens made in its time
+    /// @brief Records that a request of this node released its slot. @param tokens generated while
+    /// it held the slot
     void ended(double tokens) { m_lengths.ended(tokens); }
-    /// @brief What other nodes most likely sent there since the engine measured its load.
-    /// @param nodes that share the engines, this one included
+    /// @brief Estimated number of requests that other nodes sent there since the engine measured
+    /// its load.
+    /// @param nodes number of nodes that share the engines, this one included
     [[nodiscard]] double sentByOthers(EngineKey engine, const LoadReport &load, std::uint32_t nodes,
                                       TimePoint now) const;
-    /// @brief Time until a full engine has given back so many slots.
-    /// @param answerTokens stand for all answers' length while none is known
+    /// @brief Time until a full engine has released this many slots.
+    /// @param answerTokens answer length to assume while too few samples are known
     [[nodiscard]] Duration untilFree(const EngineView &engine, double slots,
                                      std::uint32_t answerTokens, TimePoint now) const;
 
 private:
-    /// Requests of this node, fading.
+    /// Exponentially decaying count of requests of this node.
     struct Sent
     {
         double count = 0;
         TimePoint at;
     };
 
-    void forgetOld(TimePoint now);
+    void pruneExpired(TimePoint now);
 
     std::unordered_map<EngineKey, Sent> m_sent;
     AnswerLengths m_lengths;
-    TimePoint m_forgotAt;
+    TimePoint m_prunedAt;
 };
 
 } // namespace vanilladyke
--- a/include/vanilladyke/policy/slot_share.hpp
+++ b/include/vanilladyke/policy/slot_share.hpp
@@ -3,34 +3,35 @@
 #include <cstddef>
 #include <cstdint>
 
-/// Slot share: how many of an engine's slots this node may use.
+/// Slot share: how many slots of an engine this node may use.
 ///
-/// Load pattern: many nodes send to the same engines, none sees the whole load, and load moves
-/// between nodes. Without shares each node believes that a free slot is its own; together they
-/// overfill the engine, requests wait there out of reach of the queue's order, and first tokens
-/// come late. With fixed equal shares a node that carries most of the load queues in front of
-/// engines that stand half empty.
+/// Load pattern: many nodes send to the same engines, no node sees the whole load, and load moves
+/// between nodes. Without shares each node treats a free slot as its own; together they overfill
+/// the engine, requests wait there outside the order of the nodes' queues, and first tokens are
+/// late. With fixed equal shares a node that carries most of the load queues requests in front of
+/// engines that are half empty.
 ///
-/// Every node may always use its equal part. While the engine has free slots, a node may use what
-/// it has there plus a part of the free slots: where requests wait, divided by the nodes where they
-/// do; elsewhere divided by all nodes, as room for what comes next. So the parts nearly add up, and
-/// nobody has to agree. Remaining capacity divided by unsaturated senders is the rule of
-/// Aggressive Increase (cited in docs/DECISIONS.md), whose flows never shrink. Ours do: what a node
-/// has beyond its equal part shrinks while the engine is full, or nodes that start late would stay
-/// at their equal part and overfill the engine with it.
+/// Every node may always use its equal share. While the engine has free slots, a node may use what
+/// it has there plus a part of the free slots. If requests wait at the node, the free slots are
+/// divided by the number of nodes where requests wait; otherwise by the number of all nodes, as
+/// room for the next requests. The shares then nearly add up to the slots without coordination.
+/// Dividing the remaining capacity by the number of unsaturated senders is the rule of Aggressive
+/// Increase (cited in docs/DECISIONS.md), whose flows never shrink. Here the part of a share beyond
+/// the equal share shrinks while the engine is full; otherwise nodes that start late would stay at
+/// their equal share and overfill the engine with it.
 ///
-/// Grounds for the figures: docs/DECISIONS.md has the measurement against equal shares, additive
-/// increase with multiplicative decrease, and Aggressive Increase as published.
+/// docs/DECISIONS.md has the measurement of the constants against equal shares, additive increase
+/// with multiplicative decrease, and Aggressive Increase as published.
 namespace vanilladyke {
 
-/// @brief An engine's load report, as one node reads it.
+/// @brief An engine's load report from the view of one node.
 struct SlotReport
 {
-    double slots = 0; ///< requests that the engine runs at once
+    double slots = 0; ///< number of requests that the engine runs in parallel
     double busy = 0;  ///< requests of all nodes, running and waiting
-    double own = 0;   ///< requests of this node, now
+    double own = 0;   ///< requests of this node at present
     std::uint32_t nodes = 1;
-    std::uint32_t wantingNodes = 1; ///< where requests wait, as far as heard
+    std::uint32_t wantingNodes = 1; ///< estimated number of nodes where requests wait
     bool wanting = false;           ///< requests wait at this node
 };
 
@@ -38,15 +39,16 @@
 class SlotShare
 {
 public:
-    /// @brief Part of the slots that must be free before anyone takes more than its equal part.
+    /// @brief Fraction of the slots that must be free before a node takes more than its equal
+    /// share.
     static constexpr double FreeMargin = 0.05;
-    /// @brief Part of the excess that is given up with a report of a full engine,
+    /// @brief Fraction of the excess over the equal share released per report of a full engine.
     static constexpr double GivenUpWhenFull = 0.1;
-    /// @brief and of an engine where requests wait.
+    /// @brief Fraction of the excess released per report of an engine where requests wait.
     static constexpr double GivenUpWhenOverfull = 0.3;
 
     void update(const SlotReport &report);
-    /// @brief Requests that this node may have in the engine.
+    /// @brief Number of requests that this node may have at the engine.
     /// @param rounding see slotRounding
     [[nodiscard]] std::uint32_t usable(double rounding) const;
 
@@ -55,17 +57,18 @@
     double m_lastOwn = 0;
 };
 
-/// @brief Nodes where requests wait, judged by the peers that were heard of lately.
-/// @param waitingPeers those of the heard ones where requests wait
+/// @brief Estimates the number of nodes where requests wait from the peers that reported recently.
+/// @param waitingPeers reporting peers where requests wait
 /// @param here whether requests wait at this node
-[[nodiscard]] std::uint32_t estimateWantingNodes(std::size_t waitingPeers, std::size_t heardPeers,
-                                                 bool here, std::uint32_t liveNodes);
+[[nodiscard]] std::uint32_t estimateWantingNodes(std::size_t waitingPeers,
+                                                 std::size_t reportingPeers, bool here,
+                                                 std::uint32_t liveNodes);
 
-/// @brief What a node adds to its share of an engine before it cuts it to whole slots.
+/// @brief Offset that a node adds to its share of an engine before truncating it to whole slots.
 ///
-/// With more nodes than slots every share is below one slot and would be cut to nothing. These
-/// numbers are spread evenly over the nodes of an engine, so that the cut shares add up to its
-/// slots, and over the engines of a node, so that every node gets as many.
+/// With more nodes than slots every share is below one slot and would be truncated to 0. The
+/// offsets are spread evenly over the nodes of an engine, so that the truncated shares add up to
+/// its slots, and over the engines of a node, so that every node gets equally many.
 /// @param rank of the node among the live ones, in an order that all of them use
 /// @param engine index in the bundle
 [[nodiscard]] double slotRounding(std::size_t rank, std::size_t nodes, std::size_t engine);
--- a/include/vanilladyke/policy/stream_guard.hpp
+++ b/include/vanilladyke/policy/stream_guard.hpp
@@ -4,37 +4,38 @@
 #include <string>
 #include <string_view>
 
-/// Lets through only the next frame of the attempt under way.
+/// Filters the frames of a stream: only the next frame of the current attempt passes.
 ///
-/// An answer may reach a node over several connections, one after another, and a connection may
-/// carry what belongs to another exchange. Without this check a caller would see tokens twice, out
-/// of order, or of somebody else's answer.
+/// A node may receive an answer over several connections in sequence, and a connection may carry
+/// frames of another exchange. Without this check a caller could receive tokens twice, out of
+/// order, or from the answer of another caller.
 namespace vanilladyke {
 
-/// @brief What is to be done with a frame.
+/// @brief How to handle a frame.
 enum class FrameVerdict {
-    Pass,      ///< the next one: hand it on
-    Duplicate, ///< had already: drop it
+    Pass,      ///< the next one: forward it
+    Duplicate, ///< already received: drop it
     Foreign,   ///< of another attempt: drop it
-    Gap,       ///< something before it is missing: resume from the last good offset
+    Gap,       ///< earlier frames are missing: resume from the last forwarded offset
 };
 
-/// @brief The offsets that one caller has got.
+/// @brief The offset up to which one caller has received frames.
 class StreamGuard
 {
 public:
-    /// @param offset frames that the caller has already
+    /// @param offset number of frames that the caller has already received
     explicit StreamGuard(std::uint32_t offset = 0)
         : m_offset(offset)
     {}
 
-    /// @brief From now on only frames of this attempt count.
+    /// @brief Starts an attempt; from now on only its frames pass.
     void begin(std::string attempt) { m_attempt = std::move(attempt); }
-    /// @brief Judges a frame; one that passes counts as handed on.
+    /// @brief Checks a frame; one that passes counts as forwarded.
     [[nodiscard]] FrameVerdict check(std::string_view attempt, std::uint32_t offset);
-    /// @brief Judges an end marker. @param total frames of the whole answer, by the engine's count
+    /// @brief Checks an end marker. @param total number of frames of the whole answer, as reported
+    /// by the engine
     [[nodiscard]] FrameVerdict checkEnd(std::string_view attempt, std::uint32_t total) const;
-    /// @brief Frames handed on so far.
+    /// @brief Number of frames forwarded so far.
     [[nodiscard]] std::uint32_t offset() const { return m_offset; }
 
 private:
--- a/include/vanilladyke/policy/stream_recovery.hpp
+++ b/include/vanilladyke/policy/stream_recovery.hpp
@@ -5,48 +5,49 @@
 #include <cstdint>
 #include <string_view>
 
-/// What to do when the connection that carries an answer breaks off.
+/// Recovery of a stream whose connection breaks while the answer is being received.
 ///
-/// Load pattern: single connections cut or silent while their engine goes on, and engines that
-/// crash with all their streams at once. Resuming costs one round trip; continuing elsewhere costs
-/// the prefill of prompt and answer again, so it comes second. Without a limit on attempts that
-/// bring nothing, a request that no engine can finish would go round for ever and add load just
-/// when engines fail.
+/// Load pattern: single connections that are cut or stop delivering while their engine continues,
+/// and engines that crash with all their streams at once. Resuming costs one round trip. Continuing
+/// on another engine costs another prefill of the prompt and the answer so far, so it is the second
+/// choice. Without a limit on attempts that deliver nothing, a request that no engine can finish
+/// would be retried for ever and add load just when engines fail.
 namespace vanilladyke {
 
-/// @brief How an attempt ended, as far as it matters here.
+/// @brief How an attempt ended.
 enum class AttemptEnd {
-    NotConnected, ///< the engine took no connection
-    Refused,      ///< the engine doesn't want the call or doesn't know the stream
-    Broken,       ///< cut, reset, silent, a gap, or another exchange's answer
+    NotConnected, ///< no connection to the engine was established
+    Refused,      ///< the engine refused the call, or the stream is unknown to it
+    Broken,       ///< cut, reset, timed out, a gap, or the answer of another exchange
 };
 
 enum class RecoveryStep {
     Resume,    ///< the same stream on a new connection to the same engine
-    Elsewhere, ///< a new stream on another engine, from the prompt and what the caller has
+    Elsewhere, ///< a new stream on another engine, from the prompt and the answer so far
     GiveUp,
 };
 
-/// @brief What is known when an attempt has ended.
+/// @brief The state on which the decision is based, at the end of an attempt.
 struct RecoverySituation
 {
     AttemptEnd end = AttemptEnd::Broken;
-    bool engineLives = false; ///< same incarnation as when the stream began, and heard of lately
-    std::uint32_t fruitlessHere = 0; ///< attempts in a row on this engine that brought no frame
-    std::uint32_t fruitless = 0;     ///< the same on all engines
-    bool canContinue = true;         ///< the whole answer so far is known here
+    bool engineLives = false;        ///< same incarnation as at the start, and seen recently
+    std::uint32_t fruitlessHere = 0; ///< attempts in a row on this engine without a frame
+    std::uint32_t fruitless = 0;     ///< attempts in a row on any engine without a frame
+    bool canContinue = true;         ///< this node has the whole answer so far
     TimePoint giveUpAt;
 };
 
-/// @brief Attempts in a row without a frame before the engine is given up for this stream: one may
-/// be bad luck, two speak against the engine.
+/// @brief Attempts in a row without a frame after which the stream moves to another engine: one may
+/// be chance, two indicate a fault of the engine.
 inline constexpr std::uint32_t FruitlessOnOneEngine = 2;
-/// @brief Attempts in a row without a frame before the request is given up. Above the engines that
-/// a rack takes down at once.
+/// @brief Attempts in a row without a frame after which the request fails. Greater than the number
+/// of engines lost with one rack.
 inline constexpr std::uint32_t FruitlessInAll = 12;
 
 [[nodiscard]] std::string_view toString(RecoveryStep step);
 
+/// @brief Decides how to go on after an attempt has ended.
 [[nodiscard]] RecoveryStep recover(const RecoverySituation &situation, TimePoint now);
 
 } // namespace vanilladyke
--- a/src/vanilladyke/policy/back_off.cpp
+++ b/src/vanilladyke/policy/back_off.cpp
@@ -10,8 +10,8 @@
 
 } // namespace
 
-BackOff::BackOff(BackOffSpans spans)
-    : m_spans(spans)
+BackOff::BackOff(BackOffSpans intervals)
+    : m_intervals(intervals)
 {}
 
 void BackOff::succeeded()
@@ -24,9 +24,9 @@
 {
     const std::uint32_t doublings = std::min(m_failures, MostDoublings);
     ++m_failures;
-    const Duration span = std::min(m_spans.most, m_spans.first * (1U << doublings));
-    const double part = (1.0 + uniform(random)) / 2;
-    m_retryAt = now + std::chrono::duration_cast<Duration>(span * part);
+    const Duration interval = std::min(m_intervals.most, m_intervals.first * (1U << doublings));
+    const double fraction = (1.0 + uniform(random)) / 2;
+    m_retryAt = now + std::chrono::duration_cast<Duration>(interval * fraction);
 }
 
 } // namespace vanilladyke
--- a/src/vanilladyke/policy/slot_forecast.cpp
+++ b/src/vanilladyke/policy/slot_forecast.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-/// Rates of sending are averages over about this long: a prefix gets hot within less.
-constexpr double SendMemorySeconds = 1.0;
-/// A search of this many steps finds the time to a hundredth of an answer's.
+/// Averaging time of send rates; a prefix becomes hot within less.
+constexpr double RateWindowSeconds = 1.0;
+/// Steps of the binary search; they give a resolution of about a hundredth of the service time.
 constexpr int SearchSteps = 7;
 
-/// Requests of the groups that will have ended after a span.
+/// Expected number of requests of the groups that end within the time span.
 double endedWithin(Duration span, const std::vector<RequestGroup> &groups, double tokensPerSecond,
                    const AnswerLengths &lengths, TimePoint now)
 {
@@ -21,7 +21,8 @@
     for (const RequestGroup &group : groups) {
         const double made = secondsOf(now - group.since) * tokensPerSecond;
         const double left = lengths.partLongerThan(made);
-        // Longer than any answer: it ended and another one, nobody knows when, took its place.
+        // Older than any known answer: the request has ended, and another one with an unknown start
+        // time took its slot.
         const double ended = left > 0 ? 1 - lengths.partLongerThan(made + more) / left
                                       : std::min(1.0, more / lengths.mean());
         sum += ended * group.requests;
@@ -29,9 +30,9 @@
     return sum;
 }
 
-double faded(double count, TimePoint since, TimePoint now)
+double decayed(double count, TimePoint since, TimePoint now)
 {
-    return count * std::exp(-secondsOf(now - since) / SendMemorySeconds);
+    return count * std::exp(-secondsOf(now - since) / RateWindowSeconds);
 }
 
 } // namespace
@@ -59,9 +60,9 @@
 
 void SlotForecast::sent(EngineKey engine, TimePoint now)
 {
-    forgetOld(now);
+    pruneExpired(now);
     Sent &known = m_sent[engine];
-    known.count = faded(known.count, known.at, now) + 1;
+    known.count = decayed(known.count, known.at, now) + 1;
     known.at = now;
 }
 
@@ -72,7 +73,7 @@
     if (found == m_sent.end() || nodes <= 1) {
         return 0;
     }
-    const double rate = faded(found->second.count, found->second.at, now) / SendMemorySeconds;
+    const double rate = decayed(found->second.count, found->second.at, now) / RateWindowSeconds;
     return (nodes - 1) * rate * std::max(0.0, secondsOf(now - load.measuredAt));
 }
 
@@ -85,7 +86,7 @@
     if (!m_lengths.isKnown() || running < 1) {
         return spanOfSeconds(slots * service / engine.slots);
     }
-    // Those that wait ahead take the slots of all that run, and are waited for as well.
+    // The requests queued ahead take the slots of all running ones and must end as well.
     const double rounds = std::floor((slots - 1) / running);
     const double wanted = std::max(1.0, slots - rounds * running);
     double least = 0;
@@ -99,12 +100,12 @@
     return spanOfSeconds(rounds * service + most);
 }
 
-void SlotForecast::forgetOld(TimePoint now)
+void SlotForecast::pruneExpired(TimePoint now)
 {
-    if (now - m_forgotAt < Life) {
+    if (now - m_prunedAt < Life) {
         return;
     }
-    m_forgotAt = now;
+    m_prunedAt = now;
     std::erase_if(m_sent, [now](const auto &item) { return now - item.second.at > Life; });
 }
 
--- a/src/vanilladyke/policy/slot_forecast_test.cpp
+++ b/src/vanilladyke/policy/slot_forecast_test.cpp
@@ -28,31 +28,32 @@
     return engine;
 }
 
-/// Answers of 110 to 330 tokens: two to seven seconds.
-void learnAnswers(SlotForecast &forecast)
+/// Records answers of 110 to 330 tokens, about two to seven seconds.
+void recordAnswers(SlotForecast &forecast)
 {
     for (std::size_t i = 0; i < AnswerLengths::MostKept; ++i) {
         forecast.ended(110 + 220.0 * static_cast<double>(i) / AnswerLengths::MostKept);
     }
 }
 
-// Guards against the mean: a home that filled up half a second ago promised a slot within 140 ms.
-TEST(SlotForecast, AnEngineThatHasJustFilledUpFreesNoSlotForMostOfAnAnswer)
+// Guards against forecasting by the mean: for a preferred engine that filled up half a second ago
+// it predicts a free slot within 140 ms.
+TEST(SlotForecast, AnEngineThatHasJustFilledUpReleasesNoSlotForMostOfAnAnswer)
 {
     SlotForecast forecast;
-    learnAnswers(forecast);
+    recordAnswers(forecast);
     EngineView engine = engineOf(Slots, 0, start);
     engine.slotAges = agesAfter(nullptr, engine.load);
     EXPECT_GT(forecast.untilFree(engine, 1, 220, start + milliseconds(500)), milliseconds(1500));
     EXPECT_LT(forecast.untilFree(engine, 1, 220, start + milliseconds(500)), milliseconds(3000));
 }
 
-// Guards against keeping callers from an engine that has run at its limit for a while: there a slot
-// is free every 140 ms.
-TEST(SlotForecast, AnEngineThatIsFullAllTheTimeFreesSlotsAllTheTime)
+// Guards against avoiding an engine that has been full for a while: there a slot is released every
+// 140 ms.
+TEST(SlotForecast, AnEngineThatIsAlwaysFullReleasesSlotsSteadily)
 {
     SlotForecast forecast;
-    learnAnswers(forecast);
+    recordAnswers(forecast);
     std::shared_ptr<const SlotAges> ages;
     for (std::uint32_t i = 0; i < Slots; ++i) {
         ages = agesAfter(ages, engineOf(i + 1, 0, start + milliseconds(140) * i).load);
@@ -63,11 +64,11 @@
     EXPECT_LT(forecast.untilFree(engine, 1, 220, now), milliseconds(500));
 }
 
-// Guards against waits that look short since only a part of those ahead is counted.
-TEST(SlotForecast, ThoseThatWaitAheadAreWaitedForAsWell)
+// Guards against underestimated waits when only a part of the backlog ahead is counted.
+TEST(SlotForecast, CountsTheWholeBacklogAhead)
 {
     SlotForecast forecast;
-    learnAnswers(forecast);
+    recordAnswers(forecast);
     EngineView engine = engineOf(Slots, 2 * Slots, start);
     engine.slotAges = agesAfter(nullptr, engine.load);
     const Duration first = forecast.untilFree(engine, 1, 220, start);
@@ -75,8 +76,8 @@
     EXPECT_GT(third - first, seconds(8));
 }
 
-// Guards against nine nodes that each see room for one more, and send nine.
-TEST(SlotForecast, OthersAreTakenToSendAsMuchAsThisNode)
+// Guards against nine nodes that each see room for one more request and together send nine.
+TEST(SlotForecast, AssumesThatOtherNodesSendAsMuchAsThisNode)
 {
     SlotForecast forecast;
     const EngineView engine = engineOf(30, 0, start);
@@ -91,8 +92,8 @@
     EXPECT_EQ(forecast.sentByOthers(engine.key, engine.load, 1, now), 0);
 }
 
-// Guards against memory that grows with each engine that was ever seen.
-TEST(SlotForecast, AnEngineThatIsGoneIsForgotten)
+// Guards against memory that grows with each engine ever seen.
+TEST(SlotForecast, DropsTheEntryOfAnUnusedEngine)
 {
     SlotForecast forecast;
     const EngineView engine = engineOf(30, 0, start);
@@ -101,9 +102,9 @@
     EXPECT_EQ(forecast.sentByOthers(engine.key, engine.load, 9, start + milliseconds(1)), 0);
 }
 
-// Guards against a home that is known to be full beyond the deadline and gets the request all the
-// same, since computing the prefix elsewhere has its price: the caller would come late.
-TEST(SlotForecast, ARequestLeavesAHomeThatFreesNoSlotInTime)
+// Guards against choosing a preferred engine that is full beyond the deadline because prefill
+// elsewhere has a cost: the first token would be late.
+TEST(SlotForecast, ARequestAvoidsAPreferredEngineThatReleasesNoSlotInTime)
 {
     Fleet fleet;
     fleet.bundle = std::make_shared<const Bundle>();
--- a/src/vanilladyke/policy/slot_share.cpp
+++ b/src/vanilladyke/policy/slot_share.cpp
@@ -7,25 +7,25 @@
 
 namespace {
 
-/// Multiples of it, cut to their fractions, fill [0, 1) evenly, however many there are.
+/// The fractional parts of its multiples fill [0, 1) evenly, for any number of them.
 constexpr double GoldenRatio = 0.6180339887498949;
 
 } // namespace
 
 void SlotShare::update(const SlotReport &report)
 {
-    const double equalPart = report.slots / std::max(report.nodes, 1U);
+    const double equalShare = report.slots / std::max(report.nodes, 1U);
     const double free = report.slots - report.busy;
-    const double held = std::max(equalPart, std::min(report.own, m_share));
+    const double held = std::max(equalShare, std::min(report.own, m_share));
     if (free > FreeMargin * report.slots) {
-        // The report may be older than our latest requests; counted both as free and as ours they
-        // would be given out twice.
+        // The report may be older than the latest requests of this node. Their slots would be
+        // counted twice: as free and as used by this node.
         const double reported = std::min(report.own, m_lastOwn);
         const std::uint32_t takers = report.wanting ? report.wantingNodes : report.nodes;
-        m_share = std::max(equalPart, reported + free / std::max(takers, 1U));
+        m_share = std::max(equalShare, reported + free / std::max(takers, 1U));
     } else {
-        const double givenUp = free >= 0 ? GivenUpWhenFull : GivenUpWhenOverfull;
-        m_share = held - givenUp * (held - equalPart);
+        const double releasedFraction = free >= 0 ? GivenUpWhenFull : GivenUpWhenOverfull;
+        m_share = held - releasedFraction * (held - equalShare);
     }
     m_lastOwn = report.own;
 }
@@ -35,14 +35,15 @@
     return static_cast<std::uint32_t>(m_share + rounding);
 }
 
-std::uint32_t estimateWantingNodes(std::size_t waitingPeers, std::size_t heardPeers, bool here,
+std::uint32_t estimateWantingNodes(std::size_t waitingPeers, std::size_t reportingPeers, bool here,
                                    std::uint32_t liveNodes)
 {
     const double others = std::max(liveNodes, 1U) - 1.0;
-    // Nothing heard: every other node may be waiting, and too small a part is the lesser harm.
-    const double waiting =
-            heardPeers == 0 ? 1.0
-                            : static_cast<double>(waitingPeers) / static_cast<double>(heardPeers);
+    // Without reports every other node may have waiting requests; a share that is too small does
+    // less harm.
+    const double waiting = reportingPeers == 0 ? 1.0
+                                               : static_cast<double>(waitingPeers)
+                                                         / static_cast<double>(reportingPeers);
     const double sum = std::ceil(others * waiting) + (here ? 1 : 0);
     return std::max(1U, static_cast<std::uint32_t>(sum));
 }
--- a/src/vanilladyke/policy/slot_share_test.cpp
+++ b/src/vanilladyke/policy/slot_share_test.cpp
@@ -8,9 +8,9 @@
 namespace vanilladyke {
 namespace {
 
-// Forty nodes share an engine with eight slots. Cut to whole numbers, a fifth of a slot is none,
-// and nobody would use the engine; rounded up, it would get forty requests.
-RC_GTEST_PROP(SlotShare, EqualPartsOfAllNodesAddUpToTheSlots, ())
+// Forty nodes share an engine with eight slots. Truncated, a fifth of a slot is 0 and no node would
+// use the engine; rounded up, it would get forty requests.
+RC_GTEST_PROP(SlotShare, EqualSharesOfAllNodesAddUpToTheSlots, ())
 {
     const std::size_t nodes = *rc::gen::inRange<std::size_t>(1, 500);
     const std::size_t engine = *rc::gen::inRange<std::size_t>(0, 7000);
@@ -25,7 +25,7 @@
     RC_ASSERT(sum <= slots + 1);
 }
 
-TEST(SlotShare, TakesTheHeardPeersForASampleOfAll)
+TEST(SlotShare, TreatsTheReportingPeersAsASampleOfAll)
 {
     EXPECT_EQ(estimateWantingNodes(0, 0, true, 9), 9U);
     EXPECT_EQ(estimateWantingNodes(0, 4, true, 9), 1U);
@@ -33,9 +33,9 @@
     EXPECT_EQ(estimateWantingNodes(0, 4, false, 9), 1U);
 }
 
-// A node held a whole engine while the others were quiet. When they come back it has to make room,
-// or they are refused although they ask for less than their part.
-TEST(SlotShare, GivesUpWhatIsBeyondItsPartOnceTheEngineIsFull)
+// A node used a whole engine while the others were idle. When they become busy it has to release
+// slots, or their requests are refused although they stay within their shares.
+TEST(SlotShare, ReleasesTheExcessOverItsShareOnceTheEngineIsFull)
 {
     SlotShare share;
     share.update({16, 0, 0, 4, 1, true});
@@ -47,8 +47,8 @@
     EXPECT_EQ(share.usable(0), 4U);
 }
 
-// Two reports come while requests are under way that the engine had not counted when it measured.
-// Taken as free and as ours, their slots would be given out twice and the engine overfilled.
+// Two reports arrive while requests are in flight that the engine had not counted. Counted both as
+// free and as used, their slots would be assigned twice and the engine overfilled.
 TEST(SlotShare, DoesNotCountNewRequestsAsFreeSlots)
 {
     SlotShare share;
--- a/src/vanilladyke/policy/stream_guard_test.cpp
+++ b/src/vanilladyke/policy/stream_guard_test.cpp
@@ -8,8 +8,8 @@
 namespace vanilladyke {
 namespace {
 
-// A connection hands over the answer of the exchange before, because something between the two ends
-// mixed them up. A caller would read another customer's tokens.
+// A connection delivers the answer of the previous exchange because an intermediary mixed them up.
+// The caller would receive tokens of another customer.
 TEST(StreamGuard, DropsFramesAndEndsOfAnotherAttempt)
 {
     StreamGuard guard;
@@ -22,9 +22,9 @@
     EXPECT_EQ(guard.check("a2", 2), FrameVerdict::Pass);
 }
 
-// The connection breaks and the engine sends the last frames again on the new one, or leaves some
-// out. A caller would read words twice, or miss some without a sign.
-TEST(StreamGuard, DropsDuplicatesAndTellsGaps)
+// The connection breaks, and the engine resends the last frames on the new one or omits some. The
+// caller would receive tokens twice or miss some without an error.
+TEST(StreamGuard, DropsDuplicatesAndReportsGaps)
 {
     StreamGuard guard(5);
     guard.begin("a1");
@@ -35,8 +35,8 @@
     EXPECT_EQ(guard.checkEnd("a1", 6), FrameVerdict::Pass);
 }
 
-// Frames arrive in any order, doubled and mixed with those of other attempts. Whatever comes, the
-// caller must see 1, 2, 3 and so on of its own attempt.
+// Frames arrive in any order, duplicated and mixed with those of other attempts. The caller must
+// receive 1, 2, 3 and so on of its own attempt.
 RC_GTEST_PROP(StreamGuard, PassesOnlyConsecutiveOffsetsOfItsAttempt,
               (const std::vector<std::pair<bool, std::uint8_t>> &frames))
 {
--- a/src/vanilladyke/policy/stream_recovery_test.cpp
+++ b/src/vanilladyke/policy/stream_recovery_test.cpp
@@ -12,16 +12,16 @@
     return {AttemptEnd::Broken, true, 0, 0, true, Now + std::chrono::seconds(5)};
 }
 
-// One connection is cut while its engine goes on. A caller would wait for the whole prefill again
-// if the stream were begun anew elsewhere.
-TEST(StreamRecovery, ResumesOnALivingEngine)
+// One connection is cut while its engine continues. If the stream were restarted on another engine,
+// the caller would wait for the whole prefill again.
+TEST(StreamRecovery, ResumesOnALiveEngine)
 {
     EXPECT_EQ(recover(brokenAfterProgress(), Now), RecoveryStep::Resume);
 }
 
-// The engine crashes, refuses, or takes connections and answers nothing. The caller's answer stops
-// in the middle of a sentence unless another engine goes on with it.
-TEST(StreamRecovery, GoesElsewhereWhenTheEngineIsGoneOrBringsNothing)
+// The engine crashes, refuses, or accepts connections without answering. The answer stops midway
+// unless another engine continues it.
+TEST(StreamRecovery, MovesToAnotherEngineWhenTheEngineFailsOrDeliversNothing)
 {
     RecoverySituation situation = brokenAfterProgress();
     situation.engineLives = false;
@@ -34,9 +34,9 @@
     EXPECT_EQ(recover(situation, Now), RecoveryStep::Elsewhere);
 }
 
-// No engine can finish the answer, or what the caller has is not known here. The caller must hear
-// so instead of waiting for ever.
-TEST(StreamRecovery, GivesUpInTheEnd)
+// No engine can finish the answer, or this node lacks a part of it. The caller must get an error
+// instead of waiting for ever.
+TEST(StreamRecovery, GivesUpAtTheDeadlineOrAfterTooManyAttempts)
 {
     RecoverySituation situation = brokenAfterProgress();
     EXPECT_EQ(recover(situation, situation.giveUpAt), RecoveryStep::GiveUp);
--- a/src/vanilladyke/policy/token_bucket.cpp
+++ b/src/vanilladyke/policy/token_bucket.cpp
@@ -38,8 +38,8 @@
 bool TokenBucket::take(double amount, TimePoint now, double spare)
 {
     const double present = level(now);
-    // Levels are sums of many fractions; without the tolerance a caller who comes back exactly
-    // when told could miss by a rounding error.
+    // Levels are sums of many fractions; without the tolerance a caller that retries exactly at the
+    // given time could fail because of a rounding error.
     if (present + RoundingTolerance < needed(amount, spare)) {
         return false;
     }
