--- a/include/vanilladyke/policy/request_quarantine.hpp
+++ b/include/vanilladyke/policy/request_quarantine.hpp
@@ -45,7 +45,7 @@
 };
 
 /// @brief State of one request as exchanged between nodes.
-struct QuarantineNews
+struct QuarantineUpdate
 {
     struct End
     {
@@ -109,14 +109,14 @@
     void setFreed(std::vector<WorkDigest> freed);
 
     /// @brief Applies another node's updates. @return requests that this put into quarantine
-    std::vector<WorkDigest> heard(const std::vector<QuarantineNews> &news, TimePoint now);
+    std::vector<WorkDigest> applyUpdates(const std::vector<QuarantineUpdate> &news, TimePoint now);
     /// @brief Whether there are updates that were not sent yet.
-    [[nodiscard]] bool hasNews() const { return m_hasNews; }
+    [[nodiscard]] bool hasUpdates() const { return m_hasUpdates; }
     /// @brief Collects the updates for the next message to the other nodes.
     /// @param nodes nodes that send updates, this one included
     /// @param most maximum number of requests in one message
-    [[nodiscard]] std::vector<QuarantineNews> toTell(std::size_t nodes, std::size_t most,
-                                                     TimePoint now, Random &random);
+    [[nodiscard]] std::vector<QuarantineUpdate> collectUpdates(std::size_t nodes, std::size_t most,
+                                                               TimePoint now, Random &random);
 
     [[nodiscard]] std::size_t size() const { return m_requests.size(); }
     [[nodiscard]] std::size_t held(TimePoint now) const;
@@ -149,8 +149,8 @@
     void evictIfFull(std::uint64_t customer, TimePoint now);
     void erase(Requests::iterator request);
     void pruneExpired(TimePoint now);
-    [[nodiscard]] static QuarantineNews updateOf(const WorkDigest &digest, const Request &request,
-                                                 TimePoint now);
+    [[nodiscard]] static QuarantineUpdate updateOf(const WorkDigest &digest, const Request &request,
+                                                   TimePoint now);
 
     std::uint64_t m_self;
     Requests m_requests;
@@ -159,7 +159,7 @@
     std::vector<WorkDigest> m_freed;
     std::optional<TimePoint> m_sentAt;
     TimePoint m_prunedAt;
-    bool m_hasNews = false;
+    bool m_hasUpdates = false;
 };
 
 } // namespace vanilladyke
--- a/src/vanilladyke/node/load_sharing.cpp
+++ b/src/vanilladyke/node/load_sharing.cpp
@@ -55,14 +55,14 @@
              now - std::chrono::milliseconds(weights.known_age_ms())}};
 }
 
-void write(const QuarantineNews &news, wire::QuarantinedRequest *request)
+void write(const QuarantineUpdate &news, wire::QuarantinedRequest *request)
 {
     request->set_digest_high(news.digest.high);
     request->set_digest_low(news.digest.low);
     request->set_customer(news.customer);
     request->set_is_answered(news.answeredAge.has_value());
     request->set_answered_age_ms(millis(news.answeredAge.value_or(Duration::zero())));
-    for (const QuarantineNews::End &end : news.ends) {
+    for (const QuarantineUpdate::End &end : news.ends) {
         wire::QuarantinedRequest::End *each = request->add_ends();
         each->set_engine(end.engine);
         each->set_age_ms(millis(end.age));
@@ -93,9 +93,9 @@
     return news;
 }
 
-QuarantineNews read(const wire::QuarantinedRequest &request)
+QuarantineUpdate read(const wire::QuarantinedRequest &request)
 {
-    QuarantineNews news{
+    QuarantineUpdate news{
             {request.digest_high(), request.digest_low()}, request.customer(), std::nullopt, {}};
     if (request.is_answered()) {
         news.answeredAge = std::chrono::milliseconds(request.answered_age_ms());
@@ -153,7 +153,7 @@
     const Duration spacing =
             std::max<Duration>(Interval, std::chrono::seconds(peers) / MostSendsPerSecond);
     const bool hasNews =
-            m_hasUrgentNews || m_state.book.hasPlacements() || m_state.quarantine.hasNews();
+            m_hasUrgentNews || m_state.book.hasPlacements() || m_state.quarantine.hasUpdates();
     const bool isUrgent = hasNews && now - m_toldAt >= spacing;
     if (now < m_nextAt && !isUrgent) {
         return;
@@ -207,8 +207,8 @@
         placement->set_store(each.store);
         placement->set_wanted(each.wanted);
     }
-    for (const QuarantineNews &each :
-         m_state.quarantine.toTell(m_routes.size() + 1, MostQuarantined, now, m_state.random)) {
+    for (const QuarantineUpdate &each : m_state.quarantine.collectUpdates(
+                 m_routes.size() + 1, MostQuarantined, now, m_state.random)) {
         write(each, message.add_quarantined());
     }
     std::vector<LimitNews> limits = m_state.book.ownLimits(now);
@@ -322,12 +322,12 @@
 
 void LoadSharing::takeQuarantined(const wire::NodeLoad &message, TimePoint now)
 {
-    std::vector<QuarantineNews> news;
+    std::vector<QuarantineUpdate> news;
     news.reserve(static_cast<std::size_t>(message.quarantined_size()));
     for (const wire::QuarantinedRequest &each : message.quarantined()) {
         news.push_back(read(each));
     }
-    for (const WorkDigest &held : m_state.quarantine.heard(news, now)) {
+    for (const WorkDigest &held : m_state.quarantine.applyUpdates(news, now)) {
         Exchange::withdrawHeld(m_state, held);
     }
 }
--- a/src/vanilladyke/policy/request_quarantine.cpp
+++ b/src/vanilladyke/policy/request_quarantine.cpp
@@ -151,7 +151,7 @@
     const bool wasHeld = heldUntil(digest, request, end.at).has_value();
     if (add(request, end)) {
         request.sendsLeft = Repeats;
-        m_hasNews = true;
+        m_hasUpdates = true;
     }
     return !wasHeld && heldUntil(digest, request, end.at).has_value();
 }
@@ -164,7 +164,7 @@
     }
     discardEvidence(known->second, now);
     known->second.sendsLeft = Repeats;
-    m_hasNews = true;
+    m_hasUpdates = true;
     return true;
 }
 
@@ -185,17 +185,17 @@
     m_freed = std::move(freed);
 }
 
-std::vector<WorkDigest> RequestQuarantine::heard(const std::vector<QuarantineNews> &updates,
-                                                 TimePoint now)
+std::vector<WorkDigest>
+RequestQuarantine::applyUpdates(const std::vector<QuarantineUpdate> &updates, TimePoint now)
 {
     std::vector<WorkDigest> newlyHeld;
-    for (const QuarantineNews &each : updates) {
+    for (const QuarantineUpdate &each : updates) {
         Request &request = requestFor(each.digest, each.customer, now);
         const bool wasHeld = heldUntil(each.digest, request, now).has_value();
         if (each.answeredAge) {
             discardEvidence(request, now - *each.answeredAge);
         }
-        for (const QuarantineNews::End &end : each.ends) {
+        for (const QuarantineUpdate::End &end : each.ends) {
             add(request, {end.engine, now - end.age, end.hadJustBegun});
         }
         if (!wasHeld && heldUntil(each.digest, request, now)) {
@@ -205,10 +205,10 @@
     return newlyHeld;
 }
 
-QuarantineNews RequestQuarantine::updateOf(const WorkDigest &digest, const Request &request,
-                                           TimePoint now)
+QuarantineUpdate RequestQuarantine::updateOf(const WorkDigest &digest, const Request &request,
+                                             TimePoint now)
 {
-    QuarantineNews update{digest, request.customer, std::nullopt, {}};
+    QuarantineUpdate update{digest, request.customer, std::nullopt, {}};
     if (request.answeredAt) {
         update.answeredAge = now - *request.answeredAt;
     }
@@ -218,13 +218,13 @@
     return update;
 }
 
-std::vector<QuarantineNews> RequestQuarantine::toTell(std::size_t nodes, std::size_t most,
-                                                      TimePoint now, Random &random)
+std::vector<QuarantineUpdate> RequestQuarantine::collectUpdates(std::size_t nodes, std::size_t most,
+                                                                TimePoint now, Random &random)
 {
     pruneExpired(now);
     const double since = m_sentAt ? secondsOf(now - *m_sentAt) : 0;
     m_sentAt = now;
-    m_hasNews = false;
+    m_hasUpdates = false;
     if (m_requests.empty()) {
         return {};
     }
@@ -237,10 +237,10 @@
     const double share =
             RefreshPerSecond * since / static_cast<double>(std::max<std::size_t>(nodes, 1));
     const double chance = refreshable > 0 ? share / refreshable : 0;
-    std::vector<QuarantineNews> updates;
+    std::vector<QuarantineUpdate> updates;
     for (auto &[digest, request] : m_requests) {
         if (updates.size() >= most) {
-            m_hasNews = true;
+            m_hasUpdates = true;
             break;
         }
         const bool isNew = request.sendsLeft > 0;
--- a/src/vanilladyke/policy/request_quarantine_test.cpp
+++ b/src/vanilladyke/policy/request_quarantine_test.cpp
@@ -24,8 +24,8 @@
 void sendUpdates(RequestQuarantine &from, RequestQuarantine &to, TimePoint now)
 {
     Random random(1);
-    const auto updates = from.toTell(1, 1000, now, random);
-    static_cast<void>(to.heard(updates, now));
+    const auto updates = from.collectUpdates(1, 1000, now, random);
+    static_cast<void>(to.applyUpdates(updates, now));
 }
 
 // Without the exchange of terminations between nodes, each node would send on its own copy of a
@@ -149,7 +149,7 @@
     EXPECT_TRUE(quarantine.heldUntil(work(1), Start + seconds(8)));
     EXPECT_EQ(quarantine.held(Start + seconds(8)), 1U);
     Random random(1);
-    EXPECT_TRUE(quarantine.toTell(1, 10, Start + minutes(70), random).empty());
+    EXPECT_TRUE(quarantine.collectUpdates(1, 10, Start + minutes(70), random).empty());
     EXPECT_EQ(quarantine.size(), 0U);
 }
 
@@ -173,14 +173,14 @@
     // Own observations are sent Repeats times first; here every node has made them.
     for (int i = 0; i <= RequestQuarantine::Repeats; ++i) {
         for (RequestQuarantine &each : others) {
-            static_cast<void>(each.toTell(Nodes, 40, now, random));
+            static_cast<void>(each.collectUpdates(Nodes, 40, now, random));
         }
         now += UpdateInterval;
     }
     for (RequestQuarantine &each : others) {
-        const auto updates = each.toTell(Nodes, 40, now, random);
+        const auto updates = each.collectUpdates(Nodes, 40, now, random);
         sent += updates.size();
-        static_cast<void>(late.heard(updates, now));
+        static_cast<void>(late.applyUpdates(updates, now));
     }
     EXPECT_TRUE(late.heldUntil(work(7), now));
     EXPECT_LE(sent, 60U); // about RefreshPerSecond, regardless of the number of nodes
@@ -335,10 +335,10 @@
     void exchangeUpdates(TimePoint now)
     {
         for (std::size_t from = 0; from < Nodes; ++from) {
-            const auto updates = m_nodes[from].toTell(Nodes, 40, now, m_random);
+            const auto updates = m_nodes[from].collectUpdates(Nodes, 40, now, m_random);
             for (std::size_t to = 0; to < Nodes; ++to) {
                 if (to != from && !chance(0.03)) {
-                    static_cast<void>(m_nodes[to].heard(updates, now));
+                    static_cast<void>(m_nodes[to].applyUpdates(updates, now));
                 }
             }
         }
