--- a/include/vanilladyke/policy/request_quarantine.hpp
+++ b/include/vanilladyke/policy/request_quarantine.hpp
@@ -37,7 +37,7 @@
 namespace vanilladyke {
 
 /// @brief Termination of an engine while it held a request.
-struct EngineEnd
+struct EngineTermination
 {
     std::uint64_t engine = 0; ///< hash of the engine id, which changes with a restart
     TimePoint at;
@@ -89,7 +89,7 @@
 
     /// @brief Whether there is evidence against any request of the customer. If not, no digest
     /// needs to be computed.
-    [[nodiscard]] bool concerns(std::uint64_t customer) const
+    [[nodiscard]] bool hasEvidence(std::uint64_t customer) const
     {
         return m_byCustomer.contains(customer);
     }
@@ -98,15 +98,16 @@
 
     /// @brief Records that this node saw an engine terminate under the request.
     /// @return whether this put the request into quarantine
-    bool ended(const WorkDigest &digest, std::uint64_t customer, const EngineEnd &end);
+    bool recordTermination(const WorkDigest &digest, std::uint64_t customer,
+                           const EngineTermination &end);
     /// @brief Records a complete answer to the request. @return whether there was evidence against
     /// it
-    bool answered(const WorkDigest &digest, TimePoint now);
+    bool recordAnswer(const WorkDigest &digest, TimePoint now);
     /// @brief Records an answer of the engine. Drops terminations recorded for it more than
     /// LateAnswers ago.
-    void engineLives(std::uint64_t engine, TimePoint now);
+    void recordEngineAnswer(std::uint64_t engine, TimePoint now);
     /// @brief Sets the requests that an operator exempted; they are not quarantined from now on.
-    void setFreed(std::vector<WorkDigest> freed);
+    void setExempted(std::vector<WorkDigest> exempted);
 
     /// @brief Applies another node's updates. @return requests that this put into quarantine
     std::vector<WorkDigest> applyUpdates(const std::vector<QuarantineUpdate> &news, TimePoint now);
@@ -121,7 +122,7 @@
     [[nodiscard]] std::size_t size() const { return m_requests.size(); }
     [[nodiscard]] std::size_t held(TimePoint now) const;
     /// @brief Number of engines recorded as terminated under the request.
-    [[nodiscard]] std::size_t endsUnder(const WorkDigest &digest) const;
+    [[nodiscard]] std::size_t terminationsUnder(const WorkDigest &digest) const;
 
 private:
     /// Older terminations do not affect the decision.
@@ -130,7 +131,7 @@
     struct Request
     {
         std::uint64_t customer = 0;
-        std::vector<EngineEnd> ends;
+        std::vector<EngineTermination> ends;
         std::optional<TimePoint> answeredAt;
         TimePoint changedAt;
         int sendsLeft = 0;
@@ -140,9 +141,9 @@
     [[nodiscard]] static bool hasEnoughEvidence(const Request &request);
     [[nodiscard]] std::optional<TimePoint> heldUntil(const WorkDigest &digest,
                                                      const Request &request, TimePoint now) const;
-    [[nodiscard]] bool isFreed(const WorkDigest &digest) const;
+    [[nodiscard]] bool isExempted(const WorkDigest &digest) const;
     /// @return whether the termination was not recorded before
-    bool add(Request &request, const EngineEnd &end);
+    bool add(Request &request, const EngineTermination &end);
     static void discardEvidence(Request &request, TimePoint answeredAt);
     Request &requestFor(const WorkDigest &digest, std::uint64_t customer, TimePoint now);
     /// Evicts a request if there is no room for another one of the customer.
@@ -156,7 +157,7 @@
     Requests m_requests;
     std::unordered_map<std::uint64_t, std::size_t> m_byCustomer;
     std::unordered_set<std::uint64_t> m_endedEngines; ///< named by recorded ends
-    std::vector<WorkDigest> m_freed;
+    std::vector<WorkDigest> m_exempted;
     std::optional<TimePoint> m_sentAt;
     TimePoint m_prunedAt;
     bool m_hasUpdates = false;
--- a/include/vanilladyke/traffic/traffic_state.hpp
+++ b/include/vanilladyke/traffic/traffic_state.hpp
@@ -53,7 +53,7 @@
         , quarantine(settings.self)
         , random(seed)
     {
-        quarantine.setFreed(settings.freedRequests);
+        quarantine.setExempted(settings.freedRequests);
     }
 
     /// @brief Whether the node can show that its configuration and keys are young enough.
--- a/src/vanilladyke/gateway/quarantine_desk.cpp
+++ b/src/vanilladyke/gateway/quarantine_desk.cpp
@@ -39,7 +39,7 @@
                                                    TimePoint now) const
 {
     const std::lock_guard lock(m_mutex);
-    const bool mayBeHeld = m_quarantine.concerns(hashOf(context.customer));
+    const bool mayBeHeld = m_quarantine.hasEvidence(hashOf(context.customer));
     return mayBeHeld ? m_quarantine.heldUntil(digestOf(context), now) : std::nullopt;
 }
 
@@ -48,22 +48,23 @@
 {
     const WorkDigest digest = digestOf(context);
     const std::lock_guard lock(m_mutex);
-    const bool isHeld = m_quarantine.ended(digest, hashOf(context.customer),
+    const bool isHeld =
+            m_quarantine.recordTermination(digest, hashOf(context.customer),
                                            {lifeOf(engine), brokenOff.at, brokenOff.hadJustBegun});
     LogEvent("engine_ended_under_request", Severity::Warning)
             .field("request", context.id.str())
             .field("engine", engine.id.str())
             .field("digest", digest.str())
             .field("just_begun", brokenOff.hadJustBegun)
-            .field("engines_ended", m_quarantine.endsUnder(digest))
+            .field("engines_ended", m_quarantine.terminationsUnder(digest))
             .field("held", isHeld);
 }
 
 void QuarantineDesk::answered(const RequestContext &context, TimePoint now)
 {
     const std::lock_guard lock(m_mutex);
-    const bool mayBeSuspected = m_quarantine.concerns(hashOf(context.customer));
-    if (mayBeSuspected && m_quarantine.answered(digestOf(context), now)) {
+    const bool mayBeSuspected = m_quarantine.hasEvidence(hashOf(context.customer));
+    if (mayBeSuspected && m_quarantine.recordAnswer(digestOf(context), now)) {
         LogEvent("request_cleared").field("request", context.id.str());
     }
 }
--- a/src/vanilladyke/policy/request_quarantine.cpp
+++ b/src/vanilladyke/policy/request_quarantine.cpp
@@ -15,14 +15,15 @@
 
 bool RequestQuarantine::hasEnoughEvidence(const Request &request)
 {
-    const auto justBegun = std::count_if(request.ends.begin(), request.ends.end(),
-                                         [](const EngineEnd &end) { return end.hadJustBegun; });
+    const auto justBegun =
+            std::count_if(request.ends.begin(), request.ends.end(),
+                          [](const EngineTermination &end) { return end.hadJustBegun; });
     return justBegun >= EndsJustBegun || request.ends.size() >= EndsInAll;
 }
 
-bool RequestQuarantine::isFreed(const WorkDigest &digest) const
+bool RequestQuarantine::isExempted(const WorkDigest &digest) const
 {
-    return std::find(m_freed.begin(), m_freed.end(), digest) != m_freed.end();
+    return std::find(m_exempted.begin(), m_exempted.end(), digest) != m_exempted.end();
 }
 
 std::optional<TimePoint> RequestQuarantine::heldUntil(const WorkDigest &digest, TimePoint now) const
@@ -34,7 +35,7 @@
 std::optional<TimePoint> RequestQuarantine::heldUntil(const WorkDigest &digest,
                                                       const Request &request, TimePoint now) const
 {
-    if (!hasEnoughEvidence(request) || isFreed(digest)) {
+    if (!hasEnoughEvidence(request) || isExempted(digest)) {
         return std::nullopt;
     }
     constexpr std::uint64_t Steps = 1024;
@@ -43,19 +44,20 @@
     return now < until ? std::optional(until) : std::nullopt;
 }
 
-bool RequestQuarantine::add(Request &request, const EngineEnd &end)
+bool RequestQuarantine::add(Request &request, const EngineTermination &end)
 {
     if (request.answeredAt && end.at <= *request.answeredAt) {
         return false;
     }
-    const bool isKnown =
-            std::any_of(request.ends.begin(), request.ends.end(),
-                        [&end](const EngineEnd &each) { return each.engine == end.engine; });
+    const bool isKnown = std::any_of(
+            request.ends.begin(), request.ends.end(),
+            [&end](const EngineTermination &each) { return each.engine == end.engine; });
     if (isKnown) {
         return false;
     }
-    const auto after = std::find_if(request.ends.begin(), request.ends.end(),
-                                    [&end](const EngineEnd &each) { return end.at < each.at; });
+    const auto after =
+            std::find_if(request.ends.begin(), request.ends.end(),
+                         [&end](const EngineTermination &each) { return end.at < each.at; });
     request.ends.insert(after, end);
     if (request.ends.size() > MostEnds) {
         request.ends.erase(request.ends.begin());
@@ -72,7 +74,7 @@
     }
     request.answeredAt = answeredAt;
     request.changedAt = std::max(request.changedAt, answeredAt);
-    std::erase_if(request.ends, [&](const EngineEnd &end) { return end.at <= answeredAt; });
+    std::erase_if(request.ends, [&](const EngineTermination &end) { return end.at <= answeredAt; });
 }
 
 RequestQuarantine::Request &RequestQuarantine::requestFor(const WorkDigest &digest,
@@ -138,14 +140,14 @@
     }
     m_endedEngines.clear();
     for (const auto &[digest, request] : m_requests) {
-        for (const EngineEnd &end : request.ends) {
+        for (const EngineTermination &end : request.ends) {
             m_endedEngines.insert(end.engine);
         }
     }
 }
 
-bool RequestQuarantine::ended(const WorkDigest &digest, std::uint64_t customer,
-                              const EngineEnd &end)
+bool RequestQuarantine::recordTermination(const WorkDigest &digest, std::uint64_t customer,
+                                          const EngineTermination &end)
 {
     Request &request = requestFor(digest, customer, end.at);
     const bool wasHeld = heldUntil(digest, request, end.at).has_value();
@@ -156,7 +158,7 @@
     return !wasHeld && heldUntil(digest, request, end.at).has_value();
 }
 
-bool RequestQuarantine::answered(const WorkDigest &digest, TimePoint now)
+bool RequestQuarantine::recordAnswer(const WorkDigest &digest, TimePoint now)
 {
     const auto known = m_requests.find(digest);
     if (known == m_requests.end() || known->second.ends.empty()) {
@@ -168,21 +170,21 @@
     return true;
 }
 
-void RequestQuarantine::engineLives(std::uint64_t engine, TimePoint now)
+void RequestQuarantine::recordEngineAnswer(std::uint64_t engine, TimePoint now)
 {
     if (!m_endedEngines.contains(engine)) {
         return;
     }
     for (auto &[digest, request] : m_requests) {
-        std::erase_if(request.ends, [&](const EngineEnd &end) {
+        std::erase_if(request.ends, [&](const EngineTermination &end) {
             return end.engine == engine && now - end.at > LateAnswers;
         });
     }
 }
 
-void RequestQuarantine::setFreed(std::vector<WorkDigest> freed)
+void RequestQuarantine::setExempted(std::vector<WorkDigest> exempted)
 {
-    m_freed = std::move(freed);
+    m_exempted = std::move(exempted);
 }
 
 std::vector<WorkDigest>
@@ -212,7 +214,7 @@
     if (request.answeredAt) {
         update.answeredAge = now - *request.answeredAt;
     }
-    for (const EngineEnd &end : request.ends) {
+    for (const EngineTermination &end : request.ends) {
         update.ends.push_back({end.engine, now - end.at, end.hadJustBegun});
     }
     return update;
@@ -260,7 +262,7 @@
             }));
 }
 
-std::size_t RequestQuarantine::endsUnder(const WorkDigest &digest) const
+std::size_t RequestQuarantine::terminationsUnder(const WorkDigest &digest) const
 {
     const auto known = m_requests.find(digest);
     return known == m_requests.end() ? 0 : known->second.ends.size();
--- a/src/vanilladyke/policy/request_quarantine_test.cpp
+++ b/src/vanilladyke/policy/request_quarantine_test.cpp
@@ -34,8 +34,8 @@
 {
     RequestQuarantine first(1);
     RequestQuarantine second(2);
-    EXPECT_FALSE(first.ended(work(7), 5, {100, Start, true}));
-    EXPECT_FALSE(second.ended(work(7), 5, {101, Start + milliseconds(80), true}));
+    EXPECT_FALSE(first.recordTermination(work(7), 5, {100, Start, true}));
+    EXPECT_FALSE(second.recordTermination(work(7), 5, {101, Start + milliseconds(80), true}));
     EXPECT_FALSE(first.heldUntil(work(7), Start + milliseconds(90)));
     sendUpdates(first, second, Start + milliseconds(100));
     sendUpdates(second, first, Start + milliseconds(100));
@@ -48,8 +48,8 @@
 TEST(RequestQuarantine, OneEngineTerminationQuarantinesNothing)
 {
     RequestQuarantine quarantine;
-    EXPECT_FALSE(quarantine.ended(work(7), 5, {100, Start, true}));
-    EXPECT_FALSE(quarantine.ended(work(7), 5, {100, Start + milliseconds(1), true}));
+    EXPECT_FALSE(quarantine.recordTermination(work(7), 5, {100, Start, true}));
+    EXPECT_FALSE(quarantine.recordTermination(work(7), 5, {100, Start + milliseconds(1), true}));
     EXPECT_FALSE(quarantine.heldUntil(work(7), Start + seconds(1)));
 }
 
@@ -58,9 +58,9 @@
 TEST(RequestQuarantine, LongRunsNeedAThirdTermination)
 {
     RequestQuarantine quarantine;
-    EXPECT_FALSE(quarantine.ended(work(7), 5, {100, Start, false}));
-    EXPECT_FALSE(quarantine.ended(work(7), 5, {101, Start + seconds(1), false}));
-    EXPECT_TRUE(quarantine.ended(work(7), 5, {102, Start + seconds(2), true}));
+    EXPECT_FALSE(quarantine.recordTermination(work(7), 5, {100, Start, false}));
+    EXPECT_FALSE(quarantine.recordTermination(work(7), 5, {101, Start + seconds(1), false}));
+    EXPECT_TRUE(quarantine.recordTermination(work(7), 5, {102, Start + seconds(2), true}));
 }
 
 // A request sent by many callers would be refused to all of them after two unrelated crashes.
@@ -68,30 +68,30 @@
 {
     RequestQuarantine first(1);
     RequestQuarantine second(2);
-    static_cast<void>(first.ended(work(7), 5, {100, Start, true}));
-    static_cast<void>(first.ended(work(7), 5, {101, Start + seconds(1), true}));
+    static_cast<void>(first.recordTermination(work(7), 5, {100, Start, true}));
+    static_cast<void>(first.recordTermination(work(7), 5, {101, Start + seconds(1), true}));
     sendUpdates(first, second, Start + seconds(1));
     ASSERT_TRUE(second.heldUntil(work(7), Start + seconds(1)));
-    EXPECT_TRUE(first.answered(work(7), Start + seconds(2)));
-    EXPECT_FALSE(first.answered(work(7), Start + seconds(2)));
+    EXPECT_TRUE(first.recordAnswer(work(7), Start + seconds(2)));
+    EXPECT_FALSE(first.recordAnswer(work(7), Start + seconds(2)));
     sendUpdates(first, second, Start + seconds(2));
     EXPECT_FALSE(second.heldUntil(work(7), Start + seconds(2)));
     // A node that has not received the answer resends the old terminations.
     RequestQuarantine third(3);
-    static_cast<void>(third.ended(work(7), 5, {100, Start, true}));
+    static_cast<void>(third.recordTermination(work(7), 5, {100, Start, true}));
     sendUpdates(third, second, Start + seconds(3));
-    EXPECT_FALSE(second.ended(work(7), 5, {102, Start + seconds(4), true}));
+    EXPECT_FALSE(second.recordTermination(work(7), 5, {102, Start + seconds(4), true}));
 }
 
 // An engine that only ran out of connections looked as if it had terminated.
 TEST(RequestQuarantine, AnEngineThatAnswersLaterHadNotTerminated)
 {
     RequestQuarantine quarantine;
-    static_cast<void>(quarantine.ended(work(7), 5, {100, Start, true}));
-    static_cast<void>(quarantine.ended(work(7), 5, {101, Start, true}));
-    quarantine.engineLives(100, Start + milliseconds(500)); // written before it terminated
+    static_cast<void>(quarantine.recordTermination(work(7), 5, {100, Start, true}));
+    static_cast<void>(quarantine.recordTermination(work(7), 5, {101, Start, true}));
+    quarantine.recordEngineAnswer(100, Start + milliseconds(500)); // written before it terminated
     ASSERT_TRUE(quarantine.heldUntil(work(7), Start + seconds(1)));
-    quarantine.engineLives(100, Start + seconds(2));
+    quarantine.recordEngineAnswer(100, Start + seconds(2));
     EXPECT_FALSE(quarantine.heldUntil(work(7), Start + seconds(2)));
 }
 
@@ -102,8 +102,8 @@
     std::set<TimePoint> releases;
     for (std::uint64_t node = 0; node < 9; ++node) {
         RequestQuarantine quarantine(node * 7919);
-        static_cast<void>(quarantine.ended(work(7), 5, {100, Start, true}));
-        static_cast<void>(quarantine.ended(work(7), 5, {101, Start, true}));
+        static_cast<void>(quarantine.recordTermination(work(7), 5, {100, Start, true}));
+        static_cast<void>(quarantine.recordTermination(work(7), 5, {101, Start, true}));
         const auto until = quarantine.heldUntil(work(7), Start);
         ASSERT_TRUE(until);
         EXPECT_GE(*until, Start + RequestQuarantine::HoldTime);
@@ -111,7 +111,7 @@
         releases.insert(*until);
         // After its release, one more termination is enough to quarantine it again.
         EXPECT_FALSE(quarantine.heldUntil(work(7), *until));
-        EXPECT_TRUE(quarantine.ended(work(7), 5, {102, *until, true}));
+        EXPECT_TRUE(quarantine.recordTermination(work(7), 5, {102, *until, true}));
     }
     EXPECT_GT(releases.size(), 7U);
 }
@@ -119,11 +119,11 @@
 TEST(RequestQuarantine, AnOperatorExemptsARequest)
 {
     RequestQuarantine quarantine;
-    static_cast<void>(quarantine.ended(work(7), 5, {100, Start, true}));
-    static_cast<void>(quarantine.ended(work(7), 5, {101, Start, true}));
-    quarantine.setFreed({work(7)});
+    static_cast<void>(quarantine.recordTermination(work(7), 5, {100, Start, true}));
+    static_cast<void>(quarantine.recordTermination(work(7), 5, {101, Start, true}));
+    quarantine.setExempted({work(7)});
     EXPECT_FALSE(quarantine.heldUntil(work(7), Start));
-    EXPECT_FALSE(quarantine.ended(work(7), 5, {102, Start + seconds(1), true}));
+    EXPECT_FALSE(quarantine.recordTermination(work(7), 5, {102, Start + seconds(1), true}));
 }
 
 // A customer that keeps sending new requests that terminate engines would evict the entries of all
@@ -131,18 +131,18 @@
 TEST(RequestQuarantine, ACustomerWithManyRequestsEvictsItsOwn)
 {
     RequestQuarantine quarantine;
-    static_cast<void>(quarantine.ended(work(1), 5, {100, Start, true}));
-    static_cast<void>(quarantine.ended(work(1), 5, {101, Start, true}));
+    static_cast<void>(quarantine.recordTermination(work(1), 5, {100, Start, true}));
+    static_cast<void>(quarantine.recordTermination(work(1), 5, {101, Start, true}));
     for (std::uint64_t i = 0; i < 5000; ++i) {
-        static_cast<void>(
-                quarantine.ended(work(10 + i), 6, {200 + i, Start + milliseconds(i), true}));
+        static_cast<void>(quarantine.recordTermination(work(10 + i), 6,
+                                                       {200 + i, Start + milliseconds(i), true}));
     }
     EXPECT_TRUE(quarantine.heldUntil(work(1), Start + seconds(6)));
     EXPECT_EQ(quarantine.size(), RequestQuarantine::MostOfCustomer + 1);
     for (std::uint64_t customer = 10; customer < 100; ++customer) {
         for (std::uint64_t i = 0; i < 100; ++i) {
-            static_cast<void>(quarantine.ended(work(100000 * customer + i), customer,
-                                               {i, Start + seconds(7), true}));
+            static_cast<void>(quarantine.recordTermination(work(100000 * customer + i), customer,
+                                                           {i, Start + seconds(7), true}));
         }
     }
     EXPECT_LE(quarantine.size(), RequestQuarantine::MostRequests);
@@ -161,8 +161,8 @@
     std::vector<RequestQuarantine> others;
     for (std::size_t i = 0; i + 1 < Nodes; ++i) {
         others.emplace_back(i);
-        static_cast<void>(others.back().ended(work(7), 5, {100, Start, true}));
-        static_cast<void>(others.back().ended(work(7), 5, {101, Start, true}));
+        static_cast<void>(others.back().recordTermination(work(7), 5, {100, Start, true}));
+        static_cast<void>(others.back().recordTermination(work(7), 5, {101, Start, true}));
     }
     Random random(3);
     RequestQuarantine late(1000);
@@ -287,7 +287,8 @@
         });
         for (const Running &each : lost) {
             const bool hadJustBegun = now - each.begins < RequestQuarantine::JustBegun;
-            static_cast<void>(m_nodes[each.node].ended(each.digest, 5, {id, now, hadJustBegun}));
+            static_cast<void>(
+                    m_nodes[each.node].recordTermination(each.digest, 5, {id, now, hadJustBegun}));
             if (each.sends < 2 && !m_nodes[each.node].heldUntil(each.digest, now)) {
                 send(each.digest, each.node, each.sends + 1, each.attempt, now);
             } else if (each.attempt < 2 && each.digest != PoisonRequest) {
@@ -314,7 +315,7 @@
         std::erase_if(m_running, [&](const Running &each) {
             const bool isOver = each.endsAt <= now;
             if (isOver && each.digest != PoisonRequest) {
-                static_cast<void>(m_nodes[each.node].answered(each.digest, now));
+                static_cast<void>(m_nodes[each.node].recordAnswer(each.digest, now));
             }
             if (isOver && each.digest == PoisonRequest) {
                 ending = each.engine;
--- a/src/vanilladyke/traffic/exchange.cpp
+++ b/src/vanilladyke/traffic/exchange.cpp
@@ -402,9 +402,9 @@
         co_return;
     }
     const WorkDigest name = *digest();
-    const EngineEnd engineEnd{BackendBook::hashOf(engine), now, hadJustBegun};
+    const EngineTermination engineEnd{BackendBook::hashOf(engine), now, hadJustBegun};
     m_state.metrics.count("engine_ends_under_requests_total");
-    if (m_state.quarantine.ended(name, customerHash(), engineEnd)) {
+    if (m_state.quarantine.recordTermination(name, customerHash(), engineEnd)) {
         withdrawHeld(m_state, name);
     }
     m_state.tellPeers();
@@ -415,7 +415,7 @@
     int withdrawn = 0;
     for (Exchange *const each : *state.openExchanges) {
         const bool waits = each->m_connection != nullptr && !each->m_firstByteAt;
-        if (waits && state.quarantine.concerns(each->customerHash()) && each->digest() == held) {
+        if (waits && state.quarantine.hasEvidence(each->customerHash()) && each->digest() == held) {
             each->m_isWithdrawn = true;
             each->abortTry();
             ++withdrawn;
@@ -424,7 +424,7 @@
     state.metrics.count("requests_quarantined_total");
     LogEvent("request_quarantined", Severity::Warning)
             .field("digest", held.str())
-            .field("engines_ended", state.quarantine.endsUnder(held))
+            .field("engines_ended", state.quarantine.terminationsUnder(held))
             .field("withdrawn", withdrawn)
             .field("held", state.quarantine.held(MonotonicClock::now()))
             .field("suspected", state.quarantine.size());
@@ -438,15 +438,15 @@
 std::optional<TimePoint> Exchange::heldUntil(TimePoint now) const
 {
     const bool mayBeHeld = m_state.settings.quarantines && m_state.digester.isReady()
-                           && m_state.quarantine.concerns(customerHash());
+                           && m_state.quarantine.hasEvidence(customerHash());
     return mayBeHeld ? m_state.quarantine.heldUntil(*digest(), now) : std::nullopt;
 }
 
 void Exchange::noteWholeAnswer()
 {
     const bool mayBeSuspected =
-            m_state.digester.isReady() && m_state.quarantine.concerns(customerHash());
-    if (!mayBeSuspected || !m_state.quarantine.answered(*digest(), MonotonicClock::now())) {
+            m_state.digester.isReady() && m_state.quarantine.hasEvidence(customerHash());
+    if (!mayBeSuspected || !m_state.quarantine.recordAnswer(*digest(), MonotonicClock::now())) {
         return;
     }
     LogEvent("request_cleared").field("id", m_request.id).field("digest", digest()->str());
@@ -573,7 +573,7 @@
     const TimePoint now = MonotonicClock::now();
     const EngineId &id = choice.backend.id;
     if (head.status != 421) { // another engine at the same address says that
-        m_state.quarantine.engineLives(BackendBook::hashOf(id), now);
+        m_state.quarantine.recordEngineAnswer(BackendBook::hashOf(id), now);
     }
     if (head.load) {
         m_state.book.reported(id, head.load->running, head.load->waiting, now);
