--- a/include/vanilladyke/policy/request_quarantine.hpp
+++ b/include/vanilladyke/policy/request_quarantine.hpp
@@ -65,22 +65,22 @@
 {
 public:
     static constexpr Duration JustBegun = std::chrono::milliseconds(500);
-    static constexpr int EndsJustBegun = 2;
-    static constexpr int EndsInAll = 3;
+    static constexpr int EarlyTerminationsToHold = 2;
+    static constexpr int TerminationsToHold = 3;
     static constexpr Duration HoldTime = std::chrono::minutes(10);
     static constexpr Duration ReleaseSpread = std::chrono::minutes(2);
     /// A request without updates for this long is dropped.
-    static constexpr Duration Memory = std::chrono::hours(1);
-    static constexpr std::size_t MostRequests = 4096;
-    static constexpr std::size_t MostOfCustomer = 256;
+    static constexpr Duration RetentionTime = std::chrono::hours(1);
+    static constexpr std::size_t MaxRequests = 4096;
+    static constexpr std::size_t MaxRequestsPerCustomer = 256;
     static constexpr int Repeats = 3;
     static constexpr double RefreshPerSecond = 10; ///< requests, summed over all nodes
     /// Terminations under a request that is not quarantined are resent for this long: while further
     /// copies are likely to follow.
-    static constexpr Duration RefreshFor = std::chrono::seconds(20);
+    static constexpr Duration RefreshTime = std::chrono::seconds(20);
 
     /// A slow node may read an answer this long after the engine that wrote it has terminated.
-    static constexpr Duration LateAnswers = std::chrono::seconds(1);
+    static constexpr Duration LateAnswerTime = std::chrono::seconds(1);
 
     /// @param self hash of the node's name; makes release times differ between nodes
     explicit RequestQuarantine(std::uint64_t self = 0)
@@ -104,7 +104,7 @@
     /// it
     bool recordAnswer(const WorkDigest &digest, TimePoint now);
     /// @brief Records an answer of the engine. Drops terminations recorded for it more than
-    /// LateAnswers ago.
+    /// LateAnswerTime ago.
     void recordEngineAnswer(std::uint64_t engine, TimePoint now);
     /// @brief Sets the requests that an operator exempted; they are not quarantined from now on.
     void setExempted(std::vector<WorkDigest> exempted);
@@ -126,7 +126,7 @@
 
 private:
     /// Older terminations do not affect the decision.
-    static constexpr std::size_t MostEnds = 4;
+    static constexpr std::size_t MaxTerminations = 4;
 
     struct Request
     {
@@ -156,7 +156,7 @@
     std::uint64_t m_self;
     Requests m_requests;
     std::unordered_map<std::uint64_t, std::size_t> m_byCustomer;
-    std::unordered_set<std::uint64_t> m_endedEngines; ///< named by recorded ends
+    std::unordered_set<std::uint64_t> m_terminatedEngines; ///< named by recorded ends
     std::vector<WorkDigest> m_exempted;
     std::optional<TimePoint> m_sentAt;
     TimePoint m_prunedAt;
--- a/src/vanilladyke/policy/request_quarantine.cpp
+++ b/src/vanilladyke/policy/request_quarantine.cpp
@@ -18,7 +18,7 @@
     const auto justBegun =
             std::count_if(request.ends.begin(), request.ends.end(),
                           [](const EngineTermination &end) { return end.hadJustBegun; });
-    return justBegun >= EndsJustBegun || request.ends.size() >= EndsInAll;
+    return justBegun >= EarlyTerminationsToHold || request.ends.size() >= TerminationsToHold;
 }
 
 bool RequestQuarantine::isExempted(const WorkDigest &digest) const
@@ -59,11 +59,11 @@
             std::find_if(request.ends.begin(), request.ends.end(),
                          [&end](const EngineTermination &each) { return end.at < each.at; });
     request.ends.insert(after, end);
-    if (request.ends.size() > MostEnds) {
+    if (request.ends.size() > MaxTerminations) {
         request.ends.erase(request.ends.begin());
     }
     request.changedAt = std::max(request.changedAt, end.at);
-    m_endedEngines.insert(end.engine);
+    m_terminatedEngines.insert(end.engine);
     return true;
 }
 
@@ -96,8 +96,9 @@
 {
     pruneExpired(now);
     const auto count = m_byCustomer.find(customer);
-    const bool isCustomerFull = count != m_byCustomer.end() && count->second >= MostOfCustomer;
-    if (!isCustomerFull && m_requests.size() < MostRequests) {
+    const bool isCustomerFull =
+            count != m_byCustomer.end() && count->second >= MaxRequestsPerCustomer;
+    if (!isCustomerFull && m_requests.size() < MaxRequests) {
         return;
     }
     // Quarantined requests are evicted last: each of them is known to terminate engines.
@@ -133,15 +134,15 @@
     m_prunedAt = now;
     for (auto each = m_requests.begin(); each != m_requests.end();) {
         const auto next = std::next(each);
-        if (now - each->second.changedAt > Memory) {
+        if (now - each->second.changedAt > RetentionTime) {
             erase(each);
         }
         each = next;
     }
-    m_endedEngines.clear();
+    m_terminatedEngines.clear();
     for (const auto &[digest, request] : m_requests) {
         for (const EngineTermination &end : request.ends) {
-            m_endedEngines.insert(end.engine);
+            m_terminatedEngines.insert(end.engine);
         }
     }
 }
@@ -172,12 +173,12 @@
 
 void RequestQuarantine::recordEngineAnswer(std::uint64_t engine, TimePoint now)
 {
-    if (!m_endedEngines.contains(engine)) {
+    if (!m_terminatedEngines.contains(engine)) {
         return;
     }
     for (auto &[digest, request] : m_requests) {
         std::erase_if(request.ends, [&](const EngineTermination &end) {
-            return end.engine == engine && now - end.at > LateAnswers;
+            return end.engine == engine && now - end.at > LateAnswerTime;
         });
     }
 }
@@ -231,7 +232,7 @@
         return {};
     }
     const auto isWorthRefreshing = [now](const Request &request) {
-        return hasEnoughEvidence(request) || now - request.changedAt < RefreshFor;
+        return hasEnoughEvidence(request) || now - request.changedAt < RefreshTime;
     };
     const auto refreshable = static_cast<double>(
             std::count_if(m_requests.begin(), m_requests.end(),
--- a/src/vanilladyke/policy/request_quarantine_test.cpp
+++ b/src/vanilladyke/policy/request_quarantine_test.cpp
@@ -138,14 +138,14 @@
                                                        {200 + i, Start + milliseconds(i), true}));
     }
     EXPECT_TRUE(quarantine.heldUntil(work(1), Start + seconds(6)));
-    EXPECT_EQ(quarantine.size(), RequestQuarantine::MostOfCustomer + 1);
+    EXPECT_EQ(quarantine.size(), RequestQuarantine::MaxRequestsPerCustomer + 1);
     for (std::uint64_t customer = 10; customer < 100; ++customer) {
         for (std::uint64_t i = 0; i < 100; ++i) {
             static_cast<void>(quarantine.recordTermination(work(100000 * customer + i), customer,
                                                            {i, Start + seconds(7), true}));
         }
     }
-    EXPECT_LE(quarantine.size(), RequestQuarantine::MostRequests);
+    EXPECT_LE(quarantine.size(), RequestQuarantine::MaxRequests);
     EXPECT_TRUE(quarantine.heldUntil(work(1), Start + seconds(8)));
     EXPECT_EQ(quarantine.held(Start + seconds(8)), 1U);
     Random random(1);
