--- a/include/vanilladyke/policy/admission.hpp
+++ b/include/vanilladyke/policy/admission.hpp
@@ -3,7 +3,7 @@
 #include "vanilladyke/base/time.hpp"
 #include "vanilladyke/model/refusal.hpp"
 #include "vanilladyke/policy/fair_queue.hpp"
-#include "vanilladyke/policy/return_book.hpp"
+#include "vanilladyke/policy/return_reservations.hpp"
 
 #include <cstdint>
 #include <optional>
@@ -135,7 +135,7 @@
     void occupy(const QueuedJob &job, TimePoint now);
 
     FairQueue m_queue;
-    ReturnBook m_returns;
+    ReturnReservations m_returns;
     std::unordered_map<QueueTicket, Running> m_running;
     std::multiset<TimePoint> m_predictedEnds; ///< predicted, of all running requests
     Duration m_runningWork{};                 ///< predicted, of all running requests
--- a/include/vanilladyke/policy/customer_share.hpp
+++ b/include/vanilladyke/policy/customer_share.hpp
@@ -5,7 +5,7 @@
 #include "vanilladyke/model/bundle.hpp"
 #include "vanilladyke/model/ids.hpp"
 #include "vanilladyke/model/node_load.hpp"
-#include "vanilladyke/policy/return_book.hpp"
+#include "vanilladyke/policy/return_reservations.hpp"
 #include "vanilladyke/policy/token_bucket.hpp"
 
 #include <cstdint>
@@ -75,7 +75,7 @@
 
     std::unordered_map<CustomerId, Own> m_own;
     std::unordered_map<NodeId, Peer> m_peers;
-    ReturnBook m_returns;
+    ReturnReservations m_returns;
 };
 
 } // namespace vanilladyke
--- a/include/vanilladyke/policy/return_book.hpp
+++ b/include/vanilladyke/policy/return_reservations.hpp
@@ -25,19 +25,19 @@
 inline constexpr Duration ReturnGrace = std::chrono::seconds(2);
 
 /// @brief Reservations that are neither claimed nor expired.
-class ReturnBook
+class ReturnReservations
 {
 public:
     /// @param capacity maximum number of reservations; beyond it, retry times are given without one
-    explicit ReturnBook(std::size_t capacity = DefaultCapacity)
+    explicit ReturnReservations(std::size_t capacity = DefaultCapacity)
         : m_capacity(capacity)
     {}
 
     /// @brief Reserves capacity for a caller that was given a retry time.
-    void promise(const CustomerId &customer, double cost, TimePoint due);
+    void reserve(const CustomerId &customer, double cost, TimePoint due);
     /// @brief Claims a reservation of this customer that is due and covers the cost. @return
     /// whether there was one
-    [[nodiscard]] bool redeem(const CustomerId &customer, double cost, TimePoint now);
+    [[nodiscard]] bool claim(const CustomerId &customer, double cost, TimePoint now);
     /// @brief Drops the reservations whose grace period has passed.
     void expire(TimePoint now);
 
--- a/src/vanilladyke/policy/admission.cpp
+++ b/src/vanilladyke/policy/admission.cpp
@@ -24,7 +24,7 @@
     const QueuedJob job = jobOf(request);
     decision.slots = m_slots;
     decision.waiting = m_queue.size();
-    decision.returned = m_returns.redeem(job.customer, secondsOf(job.cost), now);
+    decision.returned = m_returns.claim(job.customer, secondsOf(job.cost), now);
     const bool free = m_running.size() < m_slots && m_queue.empty();
     const ExpectedWork expected =
             decision.returned ? ExpectedWork{} : expectedReturns(job.customer);
@@ -194,7 +194,7 @@
 
 TimePoint Admission::reserveReturn(const QueuedJob &job, TimePoint at)
 {
-    m_returns.promise(job.customer, secondsOf(job.cost), at);
+    m_returns.reserve(job.customer, secondsOf(job.cost), at);
     return at;
 }
 
--- a/src/vanilladyke/policy/customer_share.cpp
+++ b/src/vanilladyke/policy/customer_share.cpp
@@ -58,13 +58,13 @@
     } else {
         own.bucket.configure(perSecond, burst, now);
     }
-    const bool returned = m_returns.redeem(customer.id, tokens, now);
+    const bool returned = m_returns.claim(customer.id, tokens, now);
     const double kept = returned ? 0 : m_returns.expected(customer.id);
     if (own.bucket.take(tokens, now, kept)) {
         return {};
     }
     const TimePoint at = own.bucket.availableAt(tokens, now, kept);
-    m_returns.promise(customer.id, tokens, at);
+    m_returns.reserve(customer.id, tokens, at);
     return failure(TimePoint(at));
 }
 
--- a/src/vanilladyke/policy/return_book.cpp
+++ b/src/vanilladyke/policy/return_reservations.cpp
@@ -1,4 +1,4 @@
-#include "vanilladyke/policy/return_book.hpp"
+#include "vanilladyke/policy/return_reservations.hpp"
 
 #include <algorithm>
 
@@ -12,7 +12,7 @@
 
 } // namespace
 
-void ReturnBook::promise(const CustomerId &customer, double cost, TimePoint due)
+void ReturnReservations::reserve(const CustomerId &customer, double cost, TimePoint due)
 {
     if (m_returns.size() >= m_capacity) {
         return;
@@ -24,7 +24,7 @@
     m_total += cost;
 }
 
-bool ReturnBook::redeem(const CustomerId &customer, double cost, TimePoint now)
+bool ReturnReservations::claim(const CustomerId &customer, double cost, TimePoint now)
 {
     expire(now);
     const auto own = m_customers.find(customer);
@@ -42,7 +42,7 @@
     return false;
 }
 
-void ReturnBook::expire(TimePoint now)
+void ReturnReservations::expire(TimePoint now)
 {
     while (!m_returns.empty() && m_returns.begin()->first + ReturnGrace < now) {
         erase(m_returns.begin());
@@ -50,13 +50,13 @@
     }
 }
 
-double ReturnBook::expected(const CustomerId &customer) const
+double ReturnReservations::expected(const CustomerId &customer) const
 {
     const auto own = m_customers.find(customer);
     return own == m_customers.end() ? 0 : own->second.cost * m_claimedFraction;
 }
 
-void ReturnBook::erase(Returns::iterator entry)
+void ReturnReservations::erase(Returns::iterator entry)
 {
     const auto own = m_customers.find(entry->second.customer);
     auto &dues = own->second.dues;
@@ -73,7 +73,7 @@
     }
 }
 
-void ReturnBook::updateClaimedFraction(bool claimed)
+void ReturnReservations::updateClaimedFraction(bool claimed)
 {
     m_claimedFraction += LearningRate * ((claimed ? 1.0 : 0.0) - m_claimedFraction);
 }
