--- a/include/vanilladyke/policy/admission.hpp
+++ b/include/vanilladyke/policy/admission.hpp
@@ -32,7 +32,7 @@
 /// prediction plus a learned margin. The factor is needed because the error of a predicted wait
 /// grows with the wait: other nodes send to the same engines at the same moment. The margin tracks
 /// the 99th percentile of the remaining error (a step up weighs 99 steps down). It lies between
-/// LeastMargin, which covers connecting and one step of an engine's batch, and MostMargin.
+/// MinMargin, which covers connecting and one step of an engine's batch, and MaxMargin.
 /// docs/DECISIONS.md has the measurement.
 namespace vanilladyke {
 
@@ -78,8 +78,8 @@
 public:
     static constexpr double CorrectionRate = 0.05;
     static constexpr double WaitFactor = 1.75;
-    static constexpr Duration LeastMargin = std::chrono::milliseconds(50);
-    static constexpr Duration MostMargin = std::chrono::seconds(2);
+    static constexpr Duration MinMargin = std::chrono::milliseconds(50);
+    static constexpr Duration MaxMargin = std::chrono::seconds(2);
 
     explicit Admission(std::size_t queueCapacity)
         : m_queue(queueCapacity)
@@ -141,7 +141,7 @@
     Duration m_runningWork{};                 ///< predicted, of all running requests
     std::uint32_t m_slots = 0;
     double m_correction = 1.0;
-    Duration m_margin = LeastMargin;
+    Duration m_margin = MinMargin;
 };
 
 } // namespace vanilladyke
--- a/src/vanilladyke/policy/admission.cpp
+++ b/src/vanilladyke/policy/admission.cpp
@@ -8,8 +8,8 @@
 
 constexpr Duration MarginStep = std::chrono::milliseconds(50);
 constexpr double MarginPercentile = 0.99;
-constexpr double LeastCorrection = 0.1;
-constexpr double MostCorrection = 10.0;
+constexpr double MinCorrection = 0.1;
+constexpr double MaxCorrection = 10.0;
 
 Duration scaled(Duration span, double factor)
 {
@@ -84,7 +84,7 @@
     releaseUnused(ticket);
     const double ratio = secondsOf(now - running.startedAt) / secondsOf(running.predicted);
     m_correction +=
-            CorrectionRate * (std::clamp(ratio, LeastCorrection, MostCorrection) - m_correction);
+            CorrectionRate * (std::clamp(ratio, MinCorrection, MaxCorrection) - m_correction);
 }
 
 void Admission::releaseUnused(QueueTicket ticket)
@@ -99,7 +99,7 @@
 {
     const bool above = measured > allowedFor(predicted);
     const double step = above ? MarginPercentile : MarginPercentile - 1;
-    m_margin = std::clamp(m_margin + scaled(MarginStep, step), LeastMargin, MostMargin);
+    m_margin = std::clamp(m_margin + scaled(MarginStep, step), MinMargin, MaxMargin);
 }
 
 std::vector<GivenUp> Admission::setSlots(std::uint32_t slots, TimePoint now)
