--- a/include/vanilladyke/gateway/admission_control.hpp
+++ b/include/vanilladyke/gateway/admission_control.hpp
@@ -87,7 +87,7 @@
     [[nodiscard]] std::vector<ModelId> waitingModels() const;
     void startWaiting(Admission &admission);
     void updateSlots(const ModelId &model, Admission &admission, const Fleet &fleet, TimePoint now);
-    void giveUp(const std::vector<GivenUp> &jobs);
+    void giveUp(const std::vector<RefusedJob> &jobs);
     void settle(QueueTicket ticket, FilterVerdict verdict);
     void giveBack(const ModelId &model, QueueTicket ticket, bool completed);
     void learnFirstToken(const ModelId &model, Duration predicted, Duration measured);
--- a/include/vanilladyke/policy/admission.hpp
+++ b/include/vanilladyke/policy/admission.hpp
@@ -65,7 +65,7 @@
 };
 
 /// @brief A waiting request that was refused, and when its caller may retry.
-struct GivenUp
+struct RefusedJob
 {
     QueuedJob job;
     RefusalReason reason = RefusalReason::TooLate;
@@ -100,9 +100,9 @@
 
     /// @brief Sets how many slots this node may use for the model.
     /// @return waiting requests that are refused because the loss of slots makes them late
-    [[nodiscard]] std::vector<GivenUp> setSlots(std::uint32_t slots, TimePoint now);
+    [[nodiscard]] std::vector<RefusedJob> setSlots(std::uint32_t slots, TimePoint now);
     /// @brief Refuses every waiting request whose latest start time has passed.
-    [[nodiscard]] std::vector<GivenUp> expire(TimePoint now);
+    [[nodiscard]] std::vector<RefusedJob> expire(TimePoint now);
     /// @brief Removes all waiting requests.
     [[nodiscard]] std::vector<QueuedJob> clear();
     /// @brief When expire() will next have something to do.
@@ -128,7 +128,7 @@
     [[nodiscard]] Duration meanJob() const;
     [[nodiscard]] ExpectedWork expectedReturns(const CustomerId &customer) const;
     [[nodiscard]] TimePoint reserveReturn(const QueuedJob &job, TimePoint at);
-    [[nodiscard]] GivenUp giveUp(const QueuedJob &job, TimePoint now);
+    [[nodiscard]] RefusedJob refuse(const QueuedJob &job, TimePoint now);
     [[nodiscard]] std::optional<TimePoint> retryTimeOfLate(const QueuedJob &job,
                                                            const AdmissionRequest &request,
                                                            TimePoint firstToken, TimePoint now);
--- a/src/vanilladyke/experiment/admitting_node.cpp
+++ b/src/vanilladyke/experiment/admitting_node.cpp
@@ -97,9 +97,9 @@
     m_decided.clear();
 }
 
-void AdmittingNode::refuse(const std::vector<GivenUp> &jobs)
+void AdmittingNode::refuse(const std::vector<RefusedJob> &jobs)
 {
-    for (const GivenUp &job : jobs) {
+    for (const RefusedJob &job : jobs) {
         m_known.erase(indexOf(job.job.ticket));
         m_decided.push_back({indexOf(job.job.ticket), std::nullopt});
     }
--- a/src/vanilladyke/experiment/admitting_node.hpp
+++ b/src/vanilladyke/experiment/admitting_node.hpp
@@ -38,7 +38,7 @@
                                                const Candidate &best) const;
     [[nodiscard]] std::vector<EngineId> fullEngines() const;
     void start(std::size_t index, TimePoint now);
-    void refuse(const std::vector<GivenUp> &jobs);
+    void refuse(const std::vector<RefusedJob> &jobs);
 
     std::vector<double> m_weights;
     VanilladykeNode m_node;
--- a/src/vanilladyke/gateway/admission_control.cpp
+++ b/src/vanilladyke/gateway/admission_control.cpp
@@ -341,9 +341,9 @@
     }
 }
 
-void AdmissionControl::giveUp(const std::vector<GivenUp> &jobs)
+void AdmissionControl::giveUp(const std::vector<RefusedJob> &jobs)
 {
-    for (const GivenUp &job : jobs) {
+    for (const RefusedJob &job : jobs) {
         settle(job.job.ticket, refusalOf(job.reason, job.retryAt));
     }
 }
--- a/src/vanilladyke/policy/admission.cpp
+++ b/src/vanilladyke/policy/admission.cpp
@@ -102,31 +102,31 @@
     m_margin = std::clamp(m_margin + scaled(MarginStep, step), MinMargin, MaxMargin);
 }
 
-std::vector<GivenUp> Admission::setSlots(std::uint32_t slots, TimePoint now)
+std::vector<RefusedJob> Admission::setSlots(std::uint32_t slots, TimePoint now)
 {
     const bool lost = slots < m_slots;
     m_slots = slots;
-    std::vector<GivenUp> givenUp;
+    std::vector<RefusedJob> refused;
     if (!lost) {
-        return givenUp;
+        return refused;
     }
     for (const auto &[job, ahead] : m_queue.outlook()) {
         if (m_slots > 0 && now + waitAfter(ahead, now) <= job.latestStart) {
             continue;
         }
         m_queue.remove(job.ticket);
-        givenUp.push_back(giveUp(job, now));
+        refused.push_back(refuse(job, now));
     }
-    return givenUp;
+    return refused;
 }
 
-std::vector<GivenUp> Admission::expire(TimePoint now)
+std::vector<RefusedJob> Admission::expire(TimePoint now)
 {
-    std::vector<GivenUp> givenUp;
+    std::vector<RefusedJob> refused;
     for (const QueuedJob &job : m_queue.expire(now)) {
-        givenUp.push_back(giveUp(job, now));
+        refused.push_back(refuse(job, now));
     }
-    return givenUp;
+    return refused;
 }
 
 std::vector<QueuedJob> Admission::clear()
@@ -134,7 +134,7 @@
     return m_queue.expire(TimePoint::max());
 }
 
-GivenUp Admission::giveUp(const QueuedJob &job, TimePoint now)
+RefusedJob Admission::refuse(const QueuedJob &job, TimePoint now)
 {
     if (m_slots == 0) {
         return {job, RefusalReason::NoBackend, std::nullopt};
--- a/src/vanilladyke/policy/admission_test.cpp
+++ b/src/vanilladyke/policy/admission_test.cpp
@@ -168,9 +168,9 @@
         }
     }
 
-    void giveUp(const std::vector<GivenUp> &jobs)
+    void giveUp(const std::vector<RefusedJob> &jobs)
     {
-        for (const GivenUp &job : jobs) {
+        for (const RefusedJob &job : jobs) {
             EXPECT_LE(m_now, m_calls.at(static_cast<std::uint64_t>(job.job.ticket)).deadline);
             tally(m_calls.at(static_cast<std::uint64_t>(job.job.ticket)),
                   [](Tally &t) { ++t.givenUp; });
