--- a/include/vanilladyke/policy/fair_queue.hpp
+++ b/include/vanilladyke/policy/fair_queue.hpp
@@ -81,9 +81,10 @@
     /// @brief Backlog ahead of the job if it were pushed now. An upper bound as long as no higher
     /// class receives more work.
     /// @param expected work that is not queued yet but has precedence
-    [[nodiscard]] Duration workAhead(const QueuedJob &job, const ExpectedWork &expected = {}) const;
+    [[nodiscard]] Duration backlogAhead(const QueuedJob &job,
+                                        const ExpectedWork &expected = {}) const;
     /// @brief Every waiting job with the backlog ahead of it, for re-evaluating the whole queue.
-    [[nodiscard]] std::vector<std::pair<QueuedJob, Duration>> outlook() const;
+    [[nodiscard]] std::vector<std::pair<QueuedJob, Duration>> backlogPerJob() const;
     /// @brief The earliest of the latest start times; none if the queue is empty.
     [[nodiscard]] std::optional<TimePoint> firstLatestStart() const;
 
@@ -135,7 +136,7 @@
     [[nodiscard]] const QueuedJob &headOf(const CustomerQueue &queue) const;
     [[nodiscard]] static Duration fairWork(const PriorityClass &priorityClass, const QueuedJob &job,
                                            Duration own, Duration all);
-    [[nodiscard]] Duration withOtherClasses(const QueuedJob &job, Duration ahead) const;
+    [[nodiscard]] Duration addOtherClasses(const QueuedJob &job, Duration ahead) const;
     void schedule(PriorityClass &priorityClass, const CustomerId &customer, CustomerQueue &queue);
     void charge(std::size_t served, Duration cost);
     QueuedJob removeJob(QueueTicket ticket);
--- a/src/vanilladyke/admission_benchmark.cpp
+++ b/src/vanilladyke/admission_benchmark.cpp
@@ -69,7 +69,7 @@
         static_cast<void>(queue.push(jobs.next()));
     }
     for (auto each : state) {
-        benchmark::DoNotOptimize(queue.outlook());
+        benchmark::DoNotOptimize(queue.backlogPerJob());
     }
 }
 
--- a/src/vanilladyke/policy/admission.cpp
+++ b/src/vanilladyke/policy/admission.cpp
@@ -28,7 +28,7 @@
     const bool free = m_running.size() < m_slots && m_queue.empty();
     const ExpectedWork expected =
             decision.returned ? ExpectedWork{} : expectedReturns(job.customer);
-    decision.wait = free ? Duration(0) : waitAfter(m_queue.workAhead(job, expected), now);
+    decision.wait = free ? Duration(0) : waitAfter(m_queue.backlogAhead(job, expected), now);
     // If the margin grew so large that everything is refused, nothing would be measured and it
     // could never shrink. An idle node therefore admits a request on the bare prediction.
     const bool idle = m_running.empty() && m_queue.empty();
@@ -110,7 +110,7 @@
     if (!lost) {
         return refused;
     }
-    for (const auto &[job, ahead] : m_queue.outlook()) {
+    for (const auto &[job, ahead] : m_queue.backlogPerJob()) {
         if (m_slots > 0 && now + waitAfter(ahead, now) <= job.latestStart) {
             continue;
         }
@@ -139,7 +139,7 @@
     if (m_slots == 0) {
         return {job, RefusalReason::NoBackend, std::nullopt};
     }
-    const Duration ahead = m_queue.workAhead(job, expectedReturns(job.customer));
+    const Duration ahead = m_queue.backlogAhead(job, expectedReturns(job.customer));
     return {job, RefusalReason::TooLate, reserveReturn(job, now + waitAfter(ahead, now))};
 }
 
--- a/src/vanilladyke/policy/fair_queue.cpp
+++ b/src/vanilladyke/policy/fair_queue.cpp
@@ -92,15 +92,15 @@
     return late;
 }
 
-Duration FairQueue::workAhead(const QueuedJob &job, const ExpectedWork &expected) const
+Duration FairQueue::backlogAhead(const QueuedJob &job, const ExpectedWork &expected) const
 {
     const PriorityClass &priorityClass = m_classes.at(classOf(job));
     const auto found = priorityClass.customers.find(job.customer);
     const Duration waiting =
             found == priorityClass.customers.end() ? Duration(0) : found->second.work;
     const Duration own = waiting + expected.ofCustomer;
-    return withOtherClasses(job,
-                            fairWork(priorityClass, job, own, priorityClass.work + expected.ofAll));
+    return addOtherClasses(job,
+                           fairWork(priorityClass, job, own, priorityClass.work + expected.ofAll));
 }
 
 /// Weighted fair share of the class served before the job: while the customer's own work and this
@@ -115,7 +115,7 @@
     return std::min(all, spanOfSeconds(share) - job.cost);
 }
 
-Duration FairQueue::withOtherClasses(const QueuedJob &job, Duration ahead) const
+Duration FairQueue::addOtherClasses(const QueuedJob &job, Duration ahead) const
 {
     Duration above{};
     double lowerWaiting = 0;
@@ -131,7 +131,7 @@
     return spanOfSeconds(secondsOf(before) * (1 + lowerWaiting * FloorShare));
 }
 
-std::vector<std::pair<QueuedJob, Duration>> FairQueue::outlook() const
+std::vector<std::pair<QueuedJob, Duration>> FairQueue::backlogPerJob() const
 {
     std::vector<std::pair<QueuedJob, Duration>> all;
     all.reserve(m_jobs.size());
@@ -142,7 +142,7 @@
                 const QueuedJob &job = m_jobs.at(entry.ticket);
                 const Duration others = priorityClass.work - queue.work;
                 const Duration ahead = fairWork(priorityClass, job, own, own + others);
-                all.emplace_back(job, withOtherClasses(job, ahead));
+                all.emplace_back(job, addOtherClasses(job, ahead));
                 own += job.cost;
             }
         }
