--- a/include/vanilladyke/policy/customer_share.hpp
+++ b/include/vanilladyke/policy/customer_share.hpp
@@ -45,7 +45,8 @@
     [[nodiscard]] Outcome<void, TimePoint> take(const Customer &customer, double tokens,
                                                 std::uint32_t liveNodes, TimePoint now);
     /// @brief Records a peer's reported demand; replaces its previous report.
-    void hear(const NodeId &peer, const std::vector<CustomerDemand> &demand, TimePoint now);
+    void recordPeerDemand(const NodeId &peer, const std::vector<CustomerDemand> &demand,
+                          TimePoint now);
     /// @brief The demand to report to the peers: the customers with the largest demand at this
     /// node, at most MostToldDemands.
     [[nodiscard]] std::vector<CustomerDemand> ownDemand(TimePoint now) const;
--- a/src/vanilladyke/admission_benchmark.cpp
+++ b/src/vanilladyke/admission_benchmark.cpp
@@ -125,7 +125,7 @@
         for (std::size_t i = 0; i < MostToldDemands; ++i) {
             demand.push_back({ids[uniformBelow(random, Customers)], 100});
         }
-        limiter.hear(NodeId(std::to_string(peer)), demand, now);
+        limiter.recordPeerDemand(NodeId(std::to_string(peer)), demand, now);
     }
     Customer customer;
     customer.tokensPerSecond = 1000;
--- a/src/vanilladyke/gateway/admission_control.cpp
+++ b/src/vanilladyke/gateway/admission_control.cpp
@@ -296,7 +296,7 @@
     for (const PeerLoad &peer : fleet.peerLoads) {
         const auto before = m_heard.find(peer.node);
         if (before == m_heard.end() || peer.heardAt > before->second) {
-            m_limiter.hear(peer.node, peer.load->demand, peer.heardAt);
+            m_limiter.recordPeerDemand(peer.node, peer.load->demand, peer.heardAt);
         }
         heard[peer.node] = peer.heardAt;
     }
--- a/src/vanilladyke/policy/customer_share.cpp
+++ b/src/vanilladyke/policy/customer_share.cpp
@@ -68,8 +68,8 @@
     return failure(TimePoint(at));
 }
 
-void CustomerLimiter::hear(const NodeId &peer, const std::vector<CustomerDemand> &demand,
-                           TimePoint now)
+void CustomerLimiter::recordPeerDemand(const NodeId &peer,
+                                       const std::vector<CustomerDemand> &demand, TimePoint now)
 {
     Peer &report = m_peers[peer];
     report.receivedAt = now;
--- a/src/vanilladyke/policy/limits_test.cpp
+++ b/src/vanilladyke/policy/limits_test.cpp
@@ -82,9 +82,9 @@
         now += milliseconds(50);
         static_cast<void>(busy.take(customer, 10, 4, now));
         for (const char *peer : {"b", "c", "d"}) {
-            busy.hear(NodeId(peer), idle.ownDemand(now), now);
+            busy.recordPeerDemand(NodeId(peer), idle.ownDemand(now), now);
         }
-        idle.hear(NodeId("a"), busy.ownDemand(now), now);
+        idle.recordPeerDemand(NodeId("a"), busy.ownDemand(now), now);
     }
     EXPECT_GE(busy.share(customer.id, 4, now), 0.9);
     EXPECT_LE(idle.share(customer.id, 4, now), 0.1);
@@ -96,7 +96,7 @@
 TEST(CustomerLimiter, DropsReportsOfAnUnresponsivePeer)
 {
     CustomerLimiter limiter;
-    limiter.hear(NodeId("b"), {{CustomerId("brand"), 1000}}, Start);
+    limiter.recordPeerDemand(NodeId("b"), {{CustomerId("brand"), 1000}}, Start);
     const Customer customer = limited(100, 100);
     static_cast<void>(limiter.take(customer, 10, 2, Start));
     EXPECT_LT(limiter.share(customer.id, 2, Start), 0.2);
