--- a/include/vanilladyke/policy/retry_budget.hpp
+++ b/include/vanilladyke/policy/retry_budget.hpp
@@ -24,8 +24,8 @@
 /// @brief How a budget accrues.
 struct RetryTerms
 {
-    double fraction = 0;  ///< retries earned per first attempt
-    double mostSaved = 0; ///< cap on accumulated retries
+    double fraction = 0; ///< retries earned per first attempt
+    double cap = 0;      ///< cap on accumulated retries
 };
 
 /// @brief The budget of one model or of one customer.
--- a/src/vanilladyke/policy/retry_budget.cpp
+++ b/src/vanilladyke/policy/retry_budget.cpp
@@ -23,8 +23,7 @@
     const double fade = std::exp(-secondsOf(now - m_at) / secondsOf(RateWindow));
     m_earnedPerSecond = m_earnedPerSecond * fade + terms.fraction / secondsOf(RateWindow);
     m_at = now;
-    m_accumulated =
-            std::min(std::max(FirstRetries, terms.mostSaved), m_accumulated + terms.fraction);
+    m_accumulated = std::min(std::max(FirstRetries, terms.cap), m_accumulated + terms.fraction);
 }
 
 bool RetryBudget::available() const
