--- a/include/vanilladyke/policy/ejection.hpp
+++ b/include/vanilladyke/policy/ejection.hpp
@@ -80,6 +80,6 @@
 };
 
 /// @brief Maximum number of engines out of `engines` that may be ejected at once.
-[[nodiscard]] std::size_t mostEjected(std::size_t engines, double fraction);
+[[nodiscard]] std::size_t maxEjected(std::size_t engines, double fraction);
 
 } // namespace vanilladyke
--- a/src/vanilladyke/policy/ejection.cpp
+++ b/src/vanilladyke/policy/ejection.cpp
@@ -26,7 +26,7 @@
 
 } // namespace
 
-std::size_t mostEjected(std::size_t engines, double fraction)
+std::size_t maxEjected(std::size_t engines, double fraction)
 {
     return static_cast<std::size_t>(static_cast<double>(engines) * fraction);
 }
@@ -83,7 +83,7 @@
 {
     const double fraction = fleet.bundle ? fleet.bundle->limits.ejectedFraction : 0;
     return std::all_of(engine.models.begin(), engine.models.end(), [&](const ModelId &model) {
-        return ejectedOf(model, fleet, now) + 1 <= mostEjected(enginesOf(model, fleet), fraction);
+        return ejectedOf(model, fleet, now) + 1 <= maxEjected(enginesOf(model, fleet), fraction);
     });
 }
 
@@ -115,9 +115,9 @@
         return;
     }
     for (const Model &model : fleet.bundle->models) {
-        const std::size_t most =
-                mostEjected(enginesOf(model.id, fleet), fleet.bundle->limits.ejectedFraction);
-        while (ejectedOf(model.id, fleet, now) > most) {
+        const std::size_t cap =
+                maxEjected(enginesOf(model.id, fleet), fleet.bundle->limits.ejectedFraction);
+        while (ejectedOf(model.id, fleet, now) > cap) {
             Record *longest = nullptr;
             for (const EngineView &engine : fleet.engines) {
                 if (!holds(engine, model.id) || !ejected(engine.id, now)) {
--- a/src/vanilladyke/policy/ejection_test.cpp
+++ b/src/vanilladyke/policy/ejection_test.cpp
@@ -143,7 +143,7 @@
         for (std::size_t each = 0; each < engines; ++each) {
             ejected += ejection.ejected(engineAt(each), now) ? 1U : 0U;
         }
-        RC_ASSERT(ejected <= mostEjected(engines, fraction));
+        RC_ASSERT(ejected <= maxEjected(engines, fraction));
     }
 }
 
