--- a/include/vanilladyke/policy/ejection.hpp
+++ b/include/vanilladyke/policy/ejection.hpp
@@ -51,7 +51,7 @@
     /// @return whether this ejected the engine
     bool observe(const ExchangeObservation &outcome, const Fleet &fleet, TimePoint now);
     /// @brief Ends ejections that exceed the cap of a smaller fleet, the longest-running first.
-    void fit(const Fleet &fleet, TimePoint now);
+    void enforceCap(const Fleet &fleet, TimePoint now);
 
     [[nodiscard]] bool ejected(const EngineId &engine, TimePoint now) const;
     /// @brief Fraction of its slots that the engine may use: 0 while ejected, then growing to 1.
--- a/src/vanilladyke/gateway/engine_slots.cpp
+++ b/src/vanilladyke/gateway/engine_slots.cpp
@@ -78,7 +78,7 @@
         use.share.update({static_cast<double>(engine.slots), busy, own, fleet.liveNodes,
                           wantingHere, holdsAny(engine.models, waiting)});
     }
-    m_ejection.fit(fleet, now);
+    m_ejection.enforceCap(fleet, now);
 }
 
 std::uint32_t EngineSlots::usable(const EngineView &engine, TimePoint now) const
--- a/src/vanilladyke/policy/ejection.cpp
+++ b/src/vanilladyke/policy/ejection.cpp
@@ -109,7 +109,7 @@
     record.slowdown = 1.0;
 }
 
-void Ejection::fit(const Fleet &fleet, TimePoint now)
+void Ejection::enforceCap(const Fleet &fleet, TimePoint now)
 {
     if (!fleet.bundle) {
         return;
--- a/src/vanilladyke/policy/ejection_test.cpp
+++ b/src/vanilladyke/policy/ejection_test.cpp
@@ -120,7 +120,7 @@
         return count;
     };
     EXPECT_EQ(ejectedNow(), 3U);
-    ejection.fit(fleetOf(4, 0.3), Start + milliseconds(10));
+    ejection.enforceCap(fleetOf(4, 0.3), Start + milliseconds(10));
     EXPECT_EQ(ejectedNow(), 1U);
 }
 
