--- a/include/vanilladyke/policy/stream_recovery.hpp
+++ b/include/vanilladyke/policy/stream_recovery.hpp
@@ -31,19 +31,20 @@
 struct RecoverySituation
 {
     AttemptEnd end = AttemptEnd::Broken;
-    bool engineLives = false;        ///< same incarnation as at the start, and seen recently
-    std::uint32_t fruitlessHere = 0; ///< attempts in a row on this engine without a frame
-    std::uint32_t fruitless = 0;     ///< attempts in a row on any engine without a frame
-    bool canContinue = true;         ///< this node has the whole answer so far
+    bool engineIsLive = false; ///< same incarnation as at the start, and seen recently
+    std::uint32_t attemptsWithoutFrameHere =
+            0;                              ///< attempts in a row on this engine without a frame
+    std::uint32_t attemptsWithoutFrame = 0; ///< attempts in a row on any engine without a frame
+    bool hasWholeAnswer = true;             ///< this node has the whole answer so far
     TimePoint giveUpAt;
 };
 
 /// @brief Attempts in a row without a frame after which the stream moves to another engine: one may
 /// be chance, two indicate a fault of the engine.
-inline constexpr std::uint32_t FruitlessOnOneEngine = 2;
+inline constexpr std::uint32_t MaxAttemptsPerEngine = 2;
 /// @brief Attempts in a row without a frame after which the request fails. Greater than the number
 /// of engines lost with one rack.
-inline constexpr std::uint32_t FruitlessInAll = 12;
+inline constexpr std::uint32_t MaxAttempts = 12;
 
 [[nodiscard]] std::string_view toString(RecoveryStep step);
 
--- a/src/vanilladyke/policy/stream_recovery.cpp
+++ b/src/vanilladyke/policy/stream_recovery.cpp
@@ -17,14 +17,14 @@
 
 RecoveryStep recover(const RecoverySituation &situation, TimePoint now)
 {
-    if (now >= situation.giveUpAt || situation.fruitless >= FruitlessInAll) {
+    if (now >= situation.giveUpAt || situation.attemptsWithoutFrame >= MaxAttempts) {
         return RecoveryStep::GiveUp;
     }
-    const bool connectionOnly = situation.end == AttemptEnd::Broken && situation.engineLives;
-    if (connectionOnly && situation.fruitlessHere < FruitlessOnOneEngine) {
+    const bool connectionOnly = situation.end == AttemptEnd::Broken && situation.engineIsLive;
+    if (connectionOnly && situation.attemptsWithoutFrameHere < MaxAttemptsPerEngine) {
         return RecoveryStep::Resume;
     }
-    return situation.canContinue ? RecoveryStep::Elsewhere : RecoveryStep::GiveUp;
+    return situation.hasWholeAnswer ? RecoveryStep::Elsewhere : RecoveryStep::GiveUp;
 }
 
 } // namespace vanilladyke
--- a/src/vanilladyke/policy/stream_recovery_test.cpp
+++ b/src/vanilladyke/policy/stream_recovery_test.cpp
@@ -24,10 +24,10 @@
 TEST(StreamRecovery, MovesToAnotherEngineWhenTheEngineFailsOrDeliversNothing)
 {
     RecoverySituation situation = brokenAfterProgress();
-    situation.engineLives = false;
+    situation.engineIsLive = false;
     EXPECT_EQ(recover(situation, Now), RecoveryStep::Elsewhere);
     situation = brokenAfterProgress();
-    situation.fruitlessHere = FruitlessOnOneEngine;
+    situation.attemptsWithoutFrameHere = MaxAttemptsPerEngine;
     EXPECT_EQ(recover(situation, Now), RecoveryStep::Elsewhere);
     situation = brokenAfterProgress();
     situation.end = AttemptEnd::Refused;
@@ -40,11 +40,11 @@
 {
     RecoverySituation situation = brokenAfterProgress();
     EXPECT_EQ(recover(situation, situation.giveUpAt), RecoveryStep::GiveUp);
-    situation.fruitless = FruitlessInAll;
+    situation.attemptsWithoutFrame = MaxAttempts;
     EXPECT_EQ(recover(situation, Now), RecoveryStep::GiveUp);
     situation = brokenAfterProgress();
-    situation.engineLives = false;
-    situation.canContinue = false;
+    situation.engineIsLive = false;
+    situation.hasWholeAnswer = false;
     EXPECT_EQ(recover(situation, Now), RecoveryStep::GiveUp);
 }
 
