--- a/include/vanilladyke/policy/stream_recovery.hpp
+++ b/include/vanilladyke/policy/stream_recovery.hpp
@@ -22,8 +22,8 @@
 };
 
 enum class RecoveryStep {
-    Resume,    ///< the same stream on a new connection to the same engine
-    Elsewhere, ///< a new stream on another engine, from the prompt and the answer so far
+    Resume,      ///< the same stream on a new connection to the same engine
+    OtherEngine, ///< a new stream on another engine, from the prompt and the answer so far
     GiveUp,
 };
 
--- a/src/vanilladyke/gateway/conversation.cpp
+++ b/src/vanilladyke/gateway/conversation.cpp
@@ -373,7 +373,7 @@
     if (step == RecoveryStep::GiveUp) {
         return giveUp(why.detail);
     }
-    if (step == RecoveryStep::Elsewhere) {
+    if (step == RecoveryStep::OtherEngine) {
         if (auto refusal = moveElsewhere(why, now)) {
             return refusal;
         }
--- a/src/vanilladyke/policy/stream_recovery.cpp
+++ b/src/vanilladyke/policy/stream_recovery.cpp
@@ -7,7 +7,7 @@
     switch (step) {
     case RecoveryStep::Resume:
         return "resume";
-    case RecoveryStep::Elsewhere:
+    case RecoveryStep::OtherEngine:
         return "elsewhere";
     case RecoveryStep::GiveUp:
         return "give_up";
@@ -24,7 +24,7 @@
     if (connectionOnly && situation.attemptsWithoutFrameHere < MaxAttemptsPerEngine) {
         return RecoveryStep::Resume;
     }
-    return situation.hasWholeAnswer ? RecoveryStep::Elsewhere : RecoveryStep::GiveUp;
+    return situation.hasWholeAnswer ? RecoveryStep::OtherEngine : RecoveryStep::GiveUp;
 }
 
 } // namespace vanilladyke
--- a/src/vanilladyke/policy/stream_recovery_test.cpp
+++ b/src/vanilladyke/policy/stream_recovery_test.cpp
@@ -25,13 +25,13 @@
 {
     RecoverySituation situation = brokenAfterProgress();
     situation.engineIsLive = false;
-    EXPECT_EQ(recover(situation, Now), RecoveryStep::Elsewhere);
+    EXPECT_EQ(recover(situation, Now), RecoveryStep::OtherEngine);
     situation = brokenAfterProgress();
     situation.attemptsWithoutFrameHere = MaxAttemptsPerEngine;
-    EXPECT_EQ(recover(situation, Now), RecoveryStep::Elsewhere);
+    EXPECT_EQ(recover(situation, Now), RecoveryStep::OtherEngine);
     situation = brokenAfterProgress();
     situation.end = AttemptEnd::Refused;
-    EXPECT_EQ(recover(situation, Now), RecoveryStep::Elsewhere);
+    EXPECT_EQ(recover(situation, Now), RecoveryStep::OtherEngine);
 }
 
 // No engine can finish the answer, or this node lacks a part of it. The caller must get an error
