--- a/include/vanilladyke/policy/slot_share.hpp
+++ b/include/vanilladyke/policy/slot_share.hpp
@@ -31,8 +31,8 @@
     double busy = 0;  ///< requests of all nodes, running and waiting
     double own = 0;   ///< requests of this node at present
     std::uint32_t nodes = 1;
-    std::uint32_t wantingNodes = 1; ///< estimated number of nodes where requests wait
-    bool wanting = false;           ///< requests wait at this node
+    std::uint32_t waitingNodes = 1; ///< estimated number of nodes where requests wait
+    bool hasWaiting = false;        ///< requests wait at this node
 };
 
 /// @brief This node's share of one engine.
@@ -43,9 +43,9 @@
     /// share.
     static constexpr double FreeMargin = 0.05;
     /// @brief Fraction of the excess over the equal share released per report of a full engine.
-    static constexpr double GivenUpWhenFull = 0.1;
+    static constexpr double ReleasedWhenFull = 0.1;
     /// @brief Fraction of the excess released per report of an engine where requests wait.
-    static constexpr double GivenUpWhenOverfull = 0.3;
+    static constexpr double ReleasedWhenOverfull = 0.3;
 
     void update(const SlotReport &report);
     /// @brief Number of requests that this node may have at the engine.
@@ -60,7 +60,7 @@
 /// @brief Estimates the number of nodes where requests wait from the peers that reported recently.
 /// @param waitingPeers reporting peers where requests wait
 /// @param here whether requests wait at this node
-[[nodiscard]] std::uint32_t estimateWantingNodes(std::size_t waitingPeers,
+[[nodiscard]] std::uint32_t estimateWaitingNodes(std::size_t waitingPeers,
                                                  std::size_t reportingPeers, bool here,
                                                  std::uint32_t liveNodes);
 
--- a/src/vanilladyke/experiment/admitting_node.cpp
+++ b/src/vanilladyke/experiment/admitting_node.cpp
@@ -114,7 +114,7 @@
     const double busy = std::max<double>(load.running + load.waiting, own);
     const bool wanting = m_admission.waiting() > 0;
     m_shares[engine].update({static_cast<double>(view.slots), busy, own, nodes,
-                             estimateWantingNodes(0, 0, wanting, nodes), wanting});
+                             estimateWaitingNodes(0, 0, wanting, nodes), wanting});
     std::uint32_t slots = 0;
     for (std::size_t i = 0; i < m_shares.size(); ++i) {
         slots += m_shares[i].usable(slotRounding(m_rank, nodes, i));
--- a/src/vanilladyke/experiment/slot_share_rules.hpp
+++ b/src/vanilladyke/experiment/slot_share_rules.hpp
@@ -51,7 +51,7 @@
 public:
     void update(SlotReport report)
     {
-        report.wantingNodes = report.nodes;
+        report.waitingNodes = report.nodes;
         m_share.update(report);
     }
     [[nodiscard]] std::uint32_t usable(double rounding) const { return m_share.usable(rounding); }
@@ -75,7 +75,7 @@
     {
         if (report.busy > report.slots) {
             m_share *= Decrease;
-        } else if (report.busy < report.slots && report.wanting) {
+        } else if (report.busy < report.slots && report.hasWaiting) {
             m_share = std::min(report.slots, m_share + Increase);
         }
     }
@@ -93,8 +93,8 @@
     void update(const SlotReport &report)
     {
         const double free = std::max(0.0, report.slots - report.busy);
-        if (report.wanting) {
-            m_share = std::min(report.slots, m_share + free / std::max(report.wantingNodes, 1U));
+        if (report.hasWaiting) {
+            m_share = std::min(report.slots, m_share + free / std::max(report.waitingNodes, 1U));
         } else if (report.own == 0) {
             m_share = 0; // inactive: it starts from nothing when it comes back
         }
--- a/src/vanilladyke/gateway/engine_slots.cpp
+++ b/src/vanilladyke/gateway/engine_slots.cpp
@@ -38,7 +38,7 @@
         };
         const auto waiting = static_cast<std::size_t>(
                 std::count_if(fleet.peerLoads.begin(), fleet.peerLoads.end(), waits));
-        nodes[model.id] = estimateWantingNodes(waiting, fleet.peerLoads.size(),
+        nodes[model.id] = estimateWaitingNodes(waiting, fleet.peerLoads.size(),
                                                holdsAny(waitingHere, {model.id}), fleet.liveNodes);
     }
     return nodes;
--- a/src/vanilladyke/policy/slot_share.cpp
+++ b/src/vanilladyke/policy/slot_share.cpp
@@ -21,10 +21,10 @@
         // The report may be older than the latest requests of this node. Their slots would be
         // counted twice: as free and as used by this node.
         const double reported = std::min(report.own, m_lastOwn);
-        const std::uint32_t takers = report.wanting ? report.wantingNodes : report.nodes;
+        const std::uint32_t takers = report.hasWaiting ? report.waitingNodes : report.nodes;
         m_share = std::max(equalShare, reported + free / std::max(takers, 1U));
     } else {
-        const double releasedFraction = free >= 0 ? GivenUpWhenFull : GivenUpWhenOverfull;
+        const double releasedFraction = free >= 0 ? ReleasedWhenFull : ReleasedWhenOverfull;
         m_share = held - releasedFraction * (held - equalShare);
     }
     m_lastOwn = report.own;
@@ -35,7 +35,7 @@
     return static_cast<std::uint32_t>(m_share + rounding);
 }
 
-std::uint32_t estimateWantingNodes(std::size_t waitingPeers, std::size_t reportingPeers, bool here,
+std::uint32_t estimateWaitingNodes(std::size_t waitingPeers, std::size_t reportingPeers, bool here,
                                    std::uint32_t liveNodes)
 {
     const double others = std::max(liveNodes, 1U) - 1.0;
--- a/src/vanilladyke/policy/slot_share_test.cpp
+++ b/src/vanilladyke/policy/slot_share_test.cpp
@@ -27,10 +27,10 @@
 
 TEST(SlotShare, TreatsTheReportingPeersAsASampleOfAll)
 {
-    EXPECT_EQ(estimateWantingNodes(0, 0, true, 9), 9U);
-    EXPECT_EQ(estimateWantingNodes(0, 4, true, 9), 1U);
-    EXPECT_EQ(estimateWantingNodes(2, 4, true, 9), 5U);
-    EXPECT_EQ(estimateWantingNodes(0, 4, false, 9), 1U);
+    EXPECT_EQ(estimateWaitingNodes(0, 0, true, 9), 9U);
+    EXPECT_EQ(estimateWaitingNodes(0, 4, true, 9), 1U);
+    EXPECT_EQ(estimateWaitingNodes(2, 4, true, 9), 5U);
+    EXPECT_EQ(estimateWaitingNodes(0, 4, false, 9), 1U);
 }
 
 // A node used a whole engine while the others were idle. When they become busy it has to release
