--- a/include/vanilladyke/policy/slot_forecast.hpp
+++ b/include/vanilladyke/policy/slot_forecast.hpp
@@ -24,20 +24,20 @@
 class AnswerLengths
 {
 public:
-    static constexpr std::size_t MostKept = 32;
+    static constexpr std::size_t MaxSamples = 32;
     /// Minimum number of samples. The first requests to end are the short ones, so fewer samples
     /// are biased.
-    static constexpr std::size_t LeastKnown = 8;
+    static constexpr std::size_t MinSamples = 8;
 
     void ended(double tokens);
-    [[nodiscard]] bool isKnown() const { return m_count >= LeastKnown; }
+    [[nodiscard]] bool isKnown() const { return m_count >= MinSamples; }
     /// @brief The fraction of answers that are longer. Requires isKnown().
-    [[nodiscard]] double partLongerThan(double tokens) const;
+    [[nodiscard]] double fractionLongerThan(double tokens) const;
     [[nodiscard]] double mean() const { return m_mean; }
 
 private:
-    std::array<double, MostKept> m_latest{}; ///< ring buffer
-    std::array<double, MostKept> m_sorted{}; ///< sorted copy; the first m_count are valid
+    std::array<double, MaxSamples> m_latest{}; ///< ring buffer
+    std::array<double, MaxSamples> m_sorted{}; ///< sorted copy; the first m_count are valid
     std::size_t m_next = 0;
     std::size_t m_count = 0;
     double m_mean = 0;
@@ -48,7 +48,7 @@
 {
 public:
     /// The entry of an engine is dropped after this time without a request.
-    static constexpr Duration Life = std::chrono::seconds(30);
+    static constexpr Duration RetentionTime = std::chrono::seconds(30);
 
     /// @brief Records a request of this node to the engine.
     void sent(EngineKey engine, TimePoint now);
--- a/src/vanilladyke/policy/slot_forecast.cpp
+++ b/src/vanilladyke/policy/slot_forecast.cpp
@@ -20,10 +20,10 @@
     double sum = 0;
     for (const RequestGroup &group : groups) {
         const double made = secondsOf(now - group.since) * tokensPerSecond;
-        const double left = lengths.partLongerThan(made);
+        const double left = lengths.fractionLongerThan(made);
         // Older than any known answer: the request has ended, and another one with an unknown start
         // time took its slot.
-        const double ended = left > 0 ? 1 - lengths.partLongerThan(made + more) / left
+        const double ended = left > 0 ? 1 - lengths.fractionLongerThan(made + more) / left
                                       : std::min(1.0, more / lengths.mean());
         sum += ended * group.requests;
     }
@@ -40,8 +40,8 @@
 void AnswerLengths::ended(double tokens)
 {
     m_latest.at(m_next) = tokens;
-    m_next = (m_next + 1) % MostKept;
-    m_count = std::min(m_count + 1, MostKept);
+    m_next = (m_next + 1) % MaxSamples;
+    m_count = std::min(m_count + 1, MaxSamples);
     m_sorted = m_latest;
     std::sort(m_sorted.begin(), m_sorted.begin() + static_cast<std::ptrdiff_t>(m_count));
     double sum = 0;
@@ -51,7 +51,7 @@
     m_mean = sum / static_cast<double>(m_count);
 }
 
-double AnswerLengths::partLongerThan(double tokens) const
+double AnswerLengths::fractionLongerThan(double tokens) const
 {
     const auto end = m_sorted.begin() + static_cast<std::ptrdiff_t>(m_count);
     const auto longer = end - std::upper_bound(m_sorted.begin(), end, tokens);
@@ -102,11 +102,11 @@
 
 void SlotForecast::pruneExpired(TimePoint now)
 {
-    if (now - m_prunedAt < Life) {
+    if (now - m_prunedAt < RetentionTime) {
         return;
     }
     m_prunedAt = now;
-    std::erase_if(m_sent, [now](const auto &item) { return now - item.second.at > Life; });
+    std::erase_if(m_sent, [now](const auto &item) { return now - item.second.at > RetentionTime; });
 }
 
 } // namespace vanilladyke
--- a/src/vanilladyke/policy/slot_forecast_test.cpp
+++ b/src/vanilladyke/policy/slot_forecast_test.cpp
@@ -31,8 +31,8 @@
 /// Records answers of 110 to 330 tokens, about two to seven seconds.
 void recordAnswers(SlotForecast &forecast)
 {
-    for (std::size_t i = 0; i < AnswerLengths::MostKept; ++i) {
-        forecast.ended(110 + 220.0 * static_cast<double>(i) / AnswerLengths::MostKept);
+    for (std::size_t i = 0; i < AnswerLengths::MaxSamples; ++i) {
+        forecast.ended(110 + 220.0 * static_cast<double>(i) / AnswerLengths::MaxSamples);
     }
 }
 
@@ -98,7 +98,7 @@
     SlotForecast forecast;
     const EngineView engine = engineOf(30, 0, start);
     forecast.sent(engine.key, start);
-    forecast.sent(EngineKey{7}, start + 3 * SlotForecast::Life);
+    forecast.sent(EngineKey{7}, start + 3 * SlotForecast::RetentionTime);
     EXPECT_EQ(forecast.sentByOthers(engine.key, engine.load, 9, start + milliseconds(1)), 0);
 }
 
