--- a/include/vanilladyke/policy/back_off.hpp
+++ b/include/vanilladyke/policy/back_off.hpp
@@ -16,20 +16,20 @@
 namespace vanilladyke {
 
 /// @brief Retry intervals of one client.
-struct BackOffSpans
+struct BackOffIntervals
 {
     /// Short, to recover quickly from a lost packet.
     Duration first = std::chrono::milliseconds(50);
     /// A node detects the end of an outage within this time; bundles must take effect within
     /// seconds.
-    Duration most = std::chrono::milliseconds(1000);
+    Duration max = std::chrono::milliseconds(1000);
 };
 
 /// @brief The back-off state of one client. Pure. A slow call counts as failed at its deadline.
 class BackOff
 {
 public:
-    explicit BackOff(BackOffSpans intervals = {});
+    explicit BackOff(BackOffIntervals intervals = {});
 
     /// @brief Whether a call may be made now; until then the service is treated as down.
     [[nodiscard]] bool mayTry(TimePoint now) const { return now >= m_retryAt; }
@@ -42,7 +42,7 @@
     void failed(TimePoint now, Random &random);
 
 private:
-    BackOffSpans m_intervals;
+    BackOffIntervals m_intervals;
     std::uint32_t m_failures = 0; ///< in a row
     TimePoint m_retryAt = TimePoint::min();
 };
--- a/src/vanilladyke/node/state_follower.cpp
+++ b/src/vanilladyke/node/state_follower.cpp
@@ -48,7 +48,8 @@
 constexpr Duration KeySpread = std::chrono::milliseconds(400);
 /// After failed calls: a lost answer must not cost the time in which a change has to be known, and
 /// a store that is down must not be flooded.
-constexpr BackOffSpans FailureSpans{std::chrono::milliseconds(60), std::chrono::milliseconds(500)};
+constexpr BackOffIntervals FailureSpans{std::chrono::milliseconds(60),
+                                        std::chrono::milliseconds(500)};
 /// What goes into one datagram, packed; a larger configuration each node reads for itself.
 constexpr std::size_t MostSharedBytes = 16000;
 constexpr const char *FleetKeyName = "key";
--- a/src/vanilladyke/policy/back_off.cpp
+++ b/src/vanilladyke/policy/back_off.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-constexpr std::uint32_t MostDoublings = 16;
+constexpr std::uint32_t MaxDoublings = 16;
 
 } // namespace
 
-BackOff::BackOff(BackOffSpans intervals)
+BackOff::BackOff(BackOffIntervals intervals)
     : m_intervals(intervals)
 {}
 
@@ -22,9 +22,9 @@
 
 void BackOff::failed(TimePoint now, Random &random)
 {
-    const std::uint32_t doublings = std::min(m_failures, MostDoublings);
+    const std::uint32_t doublings = std::min(m_failures, MaxDoublings);
     ++m_failures;
-    const Duration interval = std::min(m_intervals.most, m_intervals.first * (1U << doublings));
+    const Duration interval = std::min(m_intervals.max, m_intervals.first * (1U << doublings));
     const double fraction = (1.0 + uniform(random)) / 2;
     m_retryAt = now + std::chrono::duration_cast<Duration>(interval * fraction);
 }
