--- a/include/vanilladyke/policy/mechanism.hpp
+++ b/include/vanilladyke/policy/mechanism.hpp
@@ -10,28 +10,28 @@
 
 /// @brief A mechanism that can be switched off.
 enum class Mechanism {
-    Homes,            ///< a shared part has a preferred engine, the same for all nodes
-    NestedHomes,      ///< parts with a common beginning share one preferred engine
-    CopyCharge,       ///< cost of a second copy of a part in the engines' memory
-    KeptStore,        ///< saving to and fetching from the kept-cache store
-    EngineFetch,      ///< fetching a part from another engine
-    Urgency,          ///< less urgent requests are not counted as backlog ahead
-    Pace,             ///< learns the prefill throughput of engines
-    Slowness,         ///< learns the slowdown of an engine relative to its service
-    WaitLimit,        ///< refuses a request whose wait exceeds a fraction of its target
-    LoadNews,         ///< load updates of other nodes count like own load
-    PlacementNews,    ///< uses the placements of shared parts that other nodes reported
-    OwnDataCentre,    ///< cost of engines in another data centre
-    SilenceCharge,    ///< cost of unresponsive engines
-    FailureCharge,    ///< cost of engines that fail requests
-    OldWeightsCharge, ///< cost of engines whose weights were replaced
-    PacedRollout,     ///< only a fraction of the engines loads weights at a time
-    Withdrawal,       ///< withdraws requests not started when the time of their weights ends
-    SecondSends,      ///< retries repeatable requests on a second engine
-    Resumes,          ///< continues a broken stream on another engine
-    EngineLimits,     ///< keeps to the request limit that an engine announces
-    Quarantine,       ///< sends no request under which engines terminated
-    SharedReading,    ///< one node reads the store on behalf of others
+    PreferredEngines,       ///< a shared part has a preferred engine, the same for all nodes
+    NestedPreferredEngines, ///< parts with a common beginning share one preferred engine
+    CopyCharge,             ///< cost of a second copy of a part in the engines' memory
+    KeptStore,              ///< saving to and fetching from the kept-cache store
+    EngineFetch,            ///< fetching a part from another engine
+    Urgency,                ///< less urgent requests are not counted as backlog ahead
+    PrefillThroughput,      ///< learns the prefill throughput of engines
+    Slowdown,               ///< learns the slowdown of an engine relative to its service
+    WaitLimit,              ///< refuses a request whose wait exceeds a fraction of its target
+    LoadUpdates,            ///< load updates of other nodes count like own load
+    PlacementUpdates,       ///< uses the placements of shared parts that other nodes reported
+    OwnDataCentre,          ///< cost of engines in another data centre
+    UnresponsiveCharge,     ///< cost of unresponsive engines
+    FailureCharge,          ///< cost of engines that fail requests
+    OldWeightsCharge,       ///< cost of engines whose weights were replaced
+    PacedRollout,           ///< only a fraction of the engines loads weights at a time
+    Withdrawal,             ///< withdraws requests not started when the time of their weights ends
+    Retries,                ///< retries repeatable requests on a second engine
+    Resumes,                ///< continues a broken stream on another engine
+    EngineLimits,           ///< keeps to the request limit that an engine announces
+    Quarantine,             ///< sends no request under which engines terminated
+    SharedStoreReads,       ///< one node reads the store on behalf of others
 };
 
 /// @brief A mechanism and its name in the settings.
@@ -42,32 +42,32 @@
 };
 
 inline constexpr std::array<MechanismName, 22> MechanismNames{{
-        {Mechanism::Homes, "homes"},
-        {Mechanism::NestedHomes, "nested_homes"},
+        {Mechanism::PreferredEngines, "homes"},
+        {Mechanism::NestedPreferredEngines, "nested_homes"},
         {Mechanism::CopyCharge, "copy_charge"},
         {Mechanism::KeptStore, "kept_store"},
         {Mechanism::EngineFetch, "engine_fetch"},
         {Mechanism::Urgency, "urgency"},
-        {Mechanism::Pace, "pace"},
-        {Mechanism::Slowness, "slowness"},
+        {Mechanism::PrefillThroughput, "pace"},
+        {Mechanism::Slowdown, "slowness"},
         {Mechanism::WaitLimit, "wait_limit"},
-        {Mechanism::LoadNews, "load_news"},
-        {Mechanism::PlacementNews, "placement_news"},
+        {Mechanism::LoadUpdates, "load_news"},
+        {Mechanism::PlacementUpdates, "placement_news"},
         {Mechanism::OwnDataCentre, "own_data_centre"},
-        {Mechanism::SilenceCharge, "silence_charge"},
+        {Mechanism::UnresponsiveCharge, "silence_charge"},
         {Mechanism::FailureCharge, "failure_charge"},
         {Mechanism::OldWeightsCharge, "old_weights_charge"},
         {Mechanism::PacedRollout, "paced_rollout"},
         {Mechanism::Withdrawal, "withdrawal"},
-        {Mechanism::SecondSends, "second_sends"},
+        {Mechanism::Retries, "second_sends"},
         {Mechanism::Resumes, "resumes"},
         {Mechanism::EngineLimits, "engine_limits"},
         {Mechanism::Quarantine, "quarantine"},
-        {Mechanism::SharedReading, "shared_reading"},
+        {Mechanism::SharedStoreReads, "shared_reading"},
 }};
 
 /// @return none if no mechanism has that name
-[[nodiscard]] constexpr std::optional<Mechanism> mechanismNamed(std::string_view name)
+[[nodiscard]] constexpr std::optional<Mechanism> findMechanism(std::string_view name)
 {
     for (const MechanismName &each : MechanismNames) {
         if (each.name == name) {
--- a/src/vanilladyke/app/mechanism_switches.cpp
+++ b/src/vanilladyke/app/mechanism_switches.cpp
@@ -15,10 +15,10 @@
     TrafficSettings &traffic = settings->traffic;
     BackendRates &rates = traffic.rates;
     switch (mechanism) {
-    case Mechanism::Homes:
+    case Mechanism::PreferredEngines:
         rates.leastHomeReading = NeverReached;
         break;
-    case Mechanism::NestedHomes:
+    case Mechanism::NestedPreferredEngines:
         rates.homesByBeginning = false;
         break;
     case Mechanism::CopyCharge:
@@ -33,25 +33,25 @@
     case Mechanism::Urgency:
         rates.weighsUrgency = false;
         break;
-    case Mechanism::Pace:
+    case Mechanism::PrefillThroughput:
         rates.learnsPace = false;
         break;
-    case Mechanism::Slowness:
+    case Mechanism::Slowdown:
         rates.learnsSlowness = false;
         break;
     case Mechanism::WaitLimit:
         rates.mostWaitTargets = NeverReachedTargets;
         break;
-    case Mechanism::LoadNews:
+    case Mechanism::LoadUpdates:
         rates.countsOthersLoad = false;
         break;
-    case Mechanism::PlacementNews:
+    case Mechanism::PlacementUpdates:
         rates.believesPlacements = false;
         break;
     case Mechanism::OwnDataCentre:
         rates.otherCentre = Millis::zero();
         break;
-    case Mechanism::SilenceCharge:
+    case Mechanism::UnresponsiveCharge:
         rates.silenceCost = Millis::zero();
         break;
     case Mechanism::FailureCharge:
@@ -67,7 +67,7 @@
     case Mechanism::Withdrawal:
         traffic.withdraws = false;
         break;
-    case Mechanism::SecondSends:
+    case Mechanism::Retries:
         traffic.sendsAgain = false;
         break;
     case Mechanism::Resumes:
@@ -79,7 +79,7 @@
     case Mechanism::Quarantine:
         traffic.quarantines = false;
         break;
-    case Mechanism::SharedReading:
+    case Mechanism::SharedStoreReads:
         settings->follow.asksOthers = false;
         break;
     }
--- a/src/vanilladyke/app/node_settings.cpp
+++ b/src/vanilladyke/app/node_settings.cpp
@@ -64,7 +64,7 @@
     std::vector<std::string> names;
     reader.texts("off", &names);
     for (const std::string &name : names) {
-        if (const auto mechanism = mechanismNamed(name)) {
+        if (const auto mechanism = findMechanism(name)) {
             switchOff(*mechanism, settings);
         } else {
             reader.fail("off", "no such mechanism: " + name);
