--- a/include/vanilladyke/policy/admission.hpp
+++ b/include/vanilladyke/policy/admission.hpp
@@ -24,7 +24,7 @@
 /// the running requests, plus the backlog ahead divided by the number of slots. The backlog ahead
 /// comes from the fair queue and therefore depends on the customer. The retry time of a refused
 /// request is when the backlog, including all return reservations made before, will have shrunk by
-/// as much as the request would have been late, plus one mean job; see return_book.hpp.
+/// as much as the request would have been late, plus one mean job; see return_reservations.hpp.
 ///
 /// Constants: predicted slot times are corrected by the measured ratio, averaged over about twenty
 /// requests (CorrectionRate). First-token times scatter, so a mean would admit many requests whose
@@ -105,7 +105,7 @@
     [[nodiscard]] std::vector<RefusedJob> expire(TimePoint now);
     /// @brief Removes all waiting requests.
     [[nodiscard]] std::vector<QueuedJob> clear();
-    /// @brief When expire() will next have something to do.
+    /// @brief When expire() will next remove a request; none if the queue is empty.
     [[nodiscard]] std::optional<TimePoint> nextExpiry() const { return m_queue.firstLatestStart(); }
 
     [[nodiscard]] std::size_t waiting() const { return m_queue.size(); }
--- a/include/vanilladyke/policy/retry_budget.hpp
+++ b/include/vanilladyke/policy/retry_budget.hpp
@@ -25,7 +25,7 @@
 struct RetryTerms
 {
     double fraction = 0; ///< retries earned per first attempt
-    double cap = 0;      ///< cap on accumulated retries
+    double cap = 0;      ///< maximum number of accumulated retries
 };
 
 /// @brief The budget of one model or of one customer.
