--- a/include/vanilladyke/policy/stream_recovery.hpp
+++ b/include/vanilladyke/policy/stream_recovery.hpp
@@ -32,8 +32,8 @@
 {
     AttemptEnd end = AttemptEnd::Broken;
     bool engineIsLive = false; ///< same incarnation as at the start, and seen recently
-    std::uint32_t attemptsWithoutFrameHere =
-            0;                              ///< attempts in a row on this engine without a frame
+    /// Attempts in a row on this engine without a frame.
+    std::uint32_t attemptsWithoutFrameHere = 0;
     std::uint32_t attemptsWithoutFrame = 0; ///< attempts in a row on any engine without a frame
     bool hasWholeAnswer = true;             ///< this node has the whole answer so far
     TimePoint giveUpAt;
