--- a/src/vanilladyke/experiment/admitting_node.cpp
+++ b/src/vanilladyke/experiment/admitting_node.cpp
@@ -97,9 +97,9 @@
     m_decided.clear();
 }
 
-void AdmittingNode::refuse(const std::vector<GivenUp> &jobs)
+void AdmittingNode::refuse(const std::vector<RefusedJob> &jobs)
 {
-    for (const GivenUp &job : jobs) {
+    for (const RefusedJob &job : jobs) {
         m_known.erase(indexOf(job.job.ticket));
         m_decided.push_back({indexOf(job.job.ticket), std::nullopt});
     }
@@ -114,7 +114,7 @@
     const double busy = std::max<double>(load.running + load.waiting, own);
     const bool wanting = m_admission.waiting() > 0;
     m_shares[engine].update({static_cast<double>(view.slots), busy, own, nodes,
-                             estimateWantingNodes(0, 0, wanting, nodes), wanting});
+                             estimateWaitingNodes(0, 0, wanting, nodes), wanting});
     std::uint32_t slots = 0;
     for (std::size_t i = 0; i < m_shares.size(); ++i) {
         slots += m_shares[i].usable(slotRounding(m_rank, nodes, i));
--- a/src/vanilladyke/gateway/engine_slots.cpp
+++ b/src/vanilladyke/gateway/engine_slots.cpp
@@ -38,7 +38,7 @@
         };
         const auto waiting = static_cast<std::size_t>(
                 std::count_if(fleet.peerLoads.begin(), fleet.peerLoads.end(), waits));
-        nodes[model.id] = estimateWantingNodes(waiting, fleet.peerLoads.size(),
+        nodes[model.id] = estimateWaitingNodes(waiting, fleet.peerLoads.size(),
                                                holdsAny(waitingHere, {model.id}), fleet.liveNodes);
     }
     return nodes;
@@ -78,7 +78,7 @@
         use.share.update({static_cast<double>(engine.slots), busy, own, fleet.liveNodes,
                           wantingHere, holdsAny(engine.models, waiting)});
     }
-    m_ejection.fit(fleet, now);
+    m_ejection.enforceCap(fleet, now);
 }
 
 std::uint32_t EngineSlots::usable(const EngineView &engine, TimePoint now) const
--- a/src/vanilladyke/policy/back_off.cpp
+++ b/src/vanilladyke/policy/back_off.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-constexpr std::uint32_t MostDoublings = 16;
+constexpr std::uint32_t MaxDoublings = 16;
 
 } // namespace
 
-BackOff::BackOff(BackOffSpans spans)
-    : m_spans(spans)
+BackOff::BackOff(BackOffIntervals intervals)
+    : m_intervals(intervals)
 {}
 
 void BackOff::succeeded()
@@ -22,11 +22,11 @@
 
 void BackOff::failed(TimePoint now, Random &random)
 {
-    const std::uint32_t doublings = std::min(m_failures, MostDoublings);
+    const std::uint32_t doublings = std::min(m_failures, MaxDoublings);
     ++m_failures;
-    const Duration span = std::min(m_spans.most, m_spans.first * (1U << doublings));
-    const double part = (1.0 + uniform(random)) / 2;
-    m_retryAt = now + std::chrono::duration_cast<Duration>(span * part);
+    const Duration interval = std::min(m_intervals.max, m_intervals.first * (1U << doublings));
+    const double fraction = (1.0 + uniform(random)) / 2;
+    m_retryAt = now + std::chrono::duration_cast<Duration>(interval * fraction);
 }
 
 } // namespace vanilladyke
--- a/src/vanilladyke/policy/request_quarantine.cpp
+++ b/src/vanilladyke/policy/request_quarantine.cpp
@@ -8,21 +8,22 @@
 
 namespace {
 
-/// Requests that nothing was heard of for long are looked for this often.
-constexpr Duration ForgetEvery = std::chrono::seconds(10);
+/// Interval between searches for expired requests.
+constexpr Duration PruneInterval = std::chrono::seconds(10);
 
 } // namespace
 
-bool RequestQuarantine::isBeyondChance(const Request &request)
+bool RequestQuarantine::hasEnoughEvidence(const Request &request)
 {
-    const auto justBegun = std::count_if(request.ends.begin(), request.ends.end(),
-                                         [](const EngineEnd &end) { return end.hadJustBegun; });
-    return justBegun >= EndsJustBegun || request.ends.size() >= EndsInAll;
+    const auto justBegun =
+            std::count_if(request.ends.begin(), request.ends.end(),
+                          [](const EngineTermination &end) { return end.hadJustBegun; });
+    return justBegun >= EarlyTerminationsToHold || request.ends.size() >= TerminationsToHold;
 }
 
-bool RequestQuarantine::isFreed(const WorkDigest &digest) const
+bool RequestQuarantine::isExempted(const WorkDigest &digest) const
 {
-    return std::find(m_freed.begin(), m_freed.end(), digest) != m_freed.end();
+    return std::find(m_exempted.begin(), m_exempted.end(), digest) != m_exempted.end();
 }
 
 std::optional<TimePoint> RequestQuarantine::heldUntil(const WorkDigest &digest, TimePoint now) const
@@ -34,7 +35,7 @@
 std::optional<TimePoint> RequestQuarantine::heldUntil(const WorkDigest &digest,
                                                       const Request &request, TimePoint now) const
 {
-    if (!isBeyondChance(request) || isFreed(digest)) {
+    if (!hasEnoughEvidence(request) || isExempted(digest)) {
         return std::nullopt;
     }
     constexpr std::uint64_t Steps = 1024;
@@ -43,36 +44,37 @@
     return now < until ? std::optional(until) : std::nullopt;
 }
 
-bool RequestQuarantine::add(Request &request, const EngineEnd &end)
+bool RequestQuarantine::add(Request &request, const EngineTermination &end)
 {
     if (request.answeredAt && end.at <= *request.answeredAt) {
         return false;
     }
-    const bool isKnown =
-            std::any_of(request.ends.begin(), request.ends.end(),
-                        [&end](const EngineEnd &each) { return each.engine == end.engine; });
+    const bool isKnown = std::any_of(
+            request.ends.begin(), request.ends.end(),
+            [&end](const EngineTermination &each) { return each.engine == end.engine; });
     if (isKnown) {
         return false;
     }
-    const auto after = std::find_if(request.ends.begin(), request.ends.end(),
-                                    [&end](const EngineEnd &each) { return end.at < each.at; });
+    const auto after =
+            std::find_if(request.ends.begin(), request.ends.end(),
+                         [&end](const EngineTermination &each) { return end.at < each.at; });
     request.ends.insert(after, end);
-    if (request.ends.size() > MostEnds) {
+    if (request.ends.size() > MaxTerminations) {
         request.ends.erase(request.ends.begin());
     }
     request.changedAt = std::max(request.changedAt, end.at);
-    m_endedEngines.insert(end.engine);
+    m_terminatedEngines.insert(end.engine);
     return true;
 }
 
-void RequestQuarantine::takeBack(Request &request, TimePoint answeredAt)
+void RequestQuarantine::discardEvidence(Request &request, TimePoint answeredAt)
 {
     if (request.answeredAt && answeredAt <= *request.answeredAt) {
         return;
     }
     request.answeredAt = answeredAt;
     request.changedAt = std::max(request.changedAt, answeredAt);
-    std::erase_if(request.ends, [&](const EngineEnd &end) { return end.at <= answeredAt; });
+    std::erase_if(request.ends, [&](const EngineTermination &end) { return end.at <= answeredAt; });
 }
 
 RequestQuarantine::Request &RequestQuarantine::requestFor(const WorkDigest &digest,
@@ -82,7 +84,7 @@
     if (known != m_requests.end()) {
         return known->second;
     }
-    makeRoom(customer, now);
+    evictIfFull(customer, now);
     ++m_byCustomer[customer];
     Request &request = m_requests[digest];
     request.customer = customer;
@@ -90,23 +92,25 @@
     return request;
 }
 
-void RequestQuarantine::makeRoom(std::uint64_t customer, TimePoint now)
+void RequestQuarantine::evictIfFull(std::uint64_t customer, TimePoint now)
 {
-    forgetOld(now);
+    pruneExpired(now);
     const auto count = m_byCustomer.find(customer);
-    const bool isCustomerFull = count != m_byCustomer.end() && count->second >= MostOfCustomer;
-    if (!isCustomerFull && m_requests.size() < MostRequests) {
+    const bool isCustomerFull =
+            count != m_byCustomer.end() && count->second >= MaxRequestsPerCustomer;
+    if (!isCustomerFull && m_requests.size() < MaxRequests) {
         return;
     }
-    // Those that are held go last: each of them is known to end engines.
-    const auto goesBefore = [](const Request &a, const Request &b) {
-        const bool aIsHeld = isBeyondChance(a);
-        return aIsHeld != isBeyondChance(b) ? !aIsHeld : a.changedAt < b.changedAt;
+    // Quarantined requests are evicted last: each of them is known to terminate engines.
+    const auto isEvictedBefore = [](const Request &a, const Request &b) {
+        const bool aIsQuarantined = hasEnoughEvidence(a);
+        return aIsQuarantined != hasEnoughEvidence(b) ? !aIsQuarantined : a.changedAt < b.changedAt;
     };
     auto first = m_requests.end();
     for (auto each = m_requests.begin(); each != m_requests.end(); ++each) {
-        const bool mayGo = !isCustomerFull || each->second.customer == customer;
-        if (mayGo && (first == m_requests.end() || goesBefore(each->second, first->second))) {
+        const bool isEvictable = !isCustomerFull || each->second.customer == customer;
+        if (isEvictable
+            && (first == m_requests.end() || isEvictedBefore(each->second, first->second))) {
             first = each;
         }
     }
@@ -122,113 +126,113 @@
     m_requests.erase(request);
 }
 
-void RequestQuarantine::forgetOld(TimePoint now)
+void RequestQuarantine::pruneExpired(TimePoint now)
 {
-    if (now - m_forgottenAt < ForgetEvery) {
+    if (now - m_prunedAt < PruneInterval) {
         return;
     }
-    m_forgottenAt = now;
+    m_prunedAt = now;
     for (auto each = m_requests.begin(); each != m_requests.end();) {
         const auto next = std::next(each);
-        if (now - each->second.changedAt > Memory) {
+        if (now - each->second.changedAt > RetentionTime) {
             erase(each);
         }
         each = next;
     }
-    m_endedEngines.clear();
+    m_terminatedEngines.clear();
     for (const auto &[digest, request] : m_requests) {
-        for (const EngineEnd &end : request.ends) {
-            m_endedEngines.insert(end.engine);
+        for (const EngineTermination &end : request.ends) {
+            m_terminatedEngines.insert(end.engine);
         }
     }
 }
 
-bool RequestQuarantine::ended(const WorkDigest &digest, std::uint64_t customer,
-                              const EngineEnd &end)
+bool RequestQuarantine::recordTermination(const WorkDigest &digest, std::uint64_t customer,
+                                          const EngineTermination &end)
 {
     Request &request = requestFor(digest, customer, end.at);
     const bool wasHeld = heldUntil(digest, request, end.at).has_value();
     if (add(request, end)) {
-        request.tellsLeft = Repeats;
-        m_hasNews = true;
+        request.sendsLeft = Repeats;
+        m_hasUpdates = true;
     }
     return !wasHeld && heldUntil(digest, request, end.at).has_value();
 }
 
-bool RequestQuarantine::answered(const WorkDigest &digest, TimePoint now)
+bool RequestQuarantine::recordAnswer(const WorkDigest &digest, TimePoint now)
 {
     const auto known = m_requests.find(digest);
     if (known == m_requests.end() || known->second.ends.empty()) {
         return false;
     }
-    takeBack(known->second, now);
-    known->second.tellsLeft = Repeats;
-    m_hasNews = true;
+    discardEvidence(known->second, now);
+    known->second.sendsLeft = Repeats;
+    m_hasUpdates = true;
     return true;
 }
 
-void RequestQuarantine::engineLives(std::uint64_t engine, TimePoint now)
+void RequestQuarantine::recordEngineAnswer(std::uint64_t engine, TimePoint now)
 {
-    if (!m_endedEngines.contains(engine)) {
+    if (!m_terminatedEngines.contains(engine)) {
         return;
     }
     for (auto &[digest, request] : m_requests) {
-        std::erase_if(request.ends, [&](const EngineEnd &end) {
-            return end.engine == engine && now - end.at > LateAnswers;
+        std::erase_if(request.ends, [&](const EngineTermination &end) {
+            return end.engine == engine && now - end.at > LateAnswerTime;
         });
     }
 }
 
-void RequestQuarantine::setFreed(std::vector<WorkDigest> freed)
+void RequestQuarantine::setExempted(std::vector<WorkDigest> exempted)
 {
-    m_freed = std::move(freed);
+    m_exempted = std::move(exempted);
 }
 
-std::vector<WorkDigest> RequestQuarantine::heard(const std::vector<QuarantineNews> &news,
-                                                 TimePoint now)
+std::vector<WorkDigest>
+RequestQuarantine::applyUpdates(const std::vector<QuarantineUpdate> &updates, TimePoint now)
 {
-    std::vector<WorkDigest> nowHeld;
-    for (const QuarantineNews &each : news) {
+    std::vector<WorkDigest> newlyHeld;
+    for (const QuarantineUpdate &each : updates) {
         Request &request = requestFor(each.digest, each.customer, now);
         const bool wasHeld = heldUntil(each.digest, request, now).has_value();
         if (each.answeredAge) {
-            takeBack(request, now - *each.answeredAge);
+            discardEvidence(request, now - *each.answeredAge);
         }
-        for (const QuarantineNews::End &end : each.ends) {
+        for (const QuarantineUpdate::End &end : each.ends) {
             add(request, {end.engine, now - end.age, end.hadJustBegun});
         }
         if (!wasHeld && heldUntil(each.digest, request, now)) {
-            nowHeld.push_back(each.digest);
+            newlyHeld.push_back(each.digest);
         }
     }
-    return nowHeld;
+    return newlyHeld;
 }
 
-QuarantineNews RequestQuarantine::newsOf(const WorkDigest &digest, const Request &request,
-                                         TimePoint now)
+QuarantineUpdate RequestQuarantine::updateOf(const WorkDigest &digest, const Request &request,
+                                             TimePoint now)
 {
-    QuarantineNews news{digest, request.customer, std::nullopt, {}};
+    QuarantineUpdate update{digest, request.customer, std::nullopt, {}};
     if (request.answeredAt) {
-        news.answeredAge = now - *request.answeredAt;
+        update.answeredAge = now - *request.answeredAt;
     }
-    for (const EngineEnd &end : request.ends) {
-        news.ends.push_back({end.engine, now - end.at, end.hadJustBegun});
+    for (const EngineTermination &end : request.ends) {
+        update.ends.push_back({end.engine, now - end.at, end.hadJustBegun});
     }
-    return news;
+    return update;
 }
 
-std::vector<QuarantineNews> RequestQuarantine::toTell(std::size_t nodes, std::size_t most,
-                                                      TimePoint now, Random &random)
+std::vector<QuarantineUpdate> RequestQuarantine::collectUpdates(std::size_t nodes, std::size_t most,
+                                                                TimePoint now, Random &random)
 {
-    forgetOld(now);
-    const double since = m_toldAt ? secondsOf(now - *m_toldAt) : 0;
-    m_toldAt = now;
-    m_hasNews = false;
+    pruneExpired(now);
+    const double since = m_sentAt ? secondsOf(now - *m_sentAt) : 0;
+    m_sentAt = now;
+    m_hasUpdates = false;
     if (m_requests.empty()) {
         return {};
     }
     const auto isWorthRefreshing = [now](const Request &request) {
-        return isBeyondChance(request) || now - request.changedAt < RefreshFor;
+        return hasEnoughEvidence(request) || now - request.changedAt < RefreshTime;
     };
     const auto refreshable = static_cast<double>(
             std::count_if(m_requests.begin(), m_requests.end(),
@@ -236,19 +240,19 @@
     const double share =
             RefreshPerSecond * since / static_cast<double>(std::max<std::size_t>(nodes, 1));
     const double chance = refreshable > 0 ? share / refreshable : 0;
-    std::vector<QuarantineNews> news;
+    std::vector<QuarantineUpdate> updates;
     for (auto &[digest, request] : m_requests) {
-        if (news.size() >= most) {
-            m_hasNews = true;
+        if (updates.size() >= most) {
+            m_hasUpdates = true;
             break;
         }
-        const bool isNew = request.tellsLeft > 0;
+        const bool isNew = request.sendsLeft > 0;
         if (isNew || (isWorthRefreshing(request) && uniform(random) < chance)) {
-            news.push_back(newsOf(digest, request, now));
-            request.tellsLeft = std::max(0, request.tellsLeft - 1);
+            updates.push_back(updateOf(digest, request, now));
+            request.sendsLeft = std::max(0, request.sendsLeft - 1);
         }
     }
-    return news;
+    return updates;
 }
 
 std::size_t RequestQuarantine::held(TimePoint now) const
@@ -259,7 +263,7 @@
             }));
 }
 
-std::size_t RequestQuarantine::endsUnder(const WorkDigest &digest) const
+std::size_t RequestQuarantine::terminationsUnder(const WorkDigest &digest) const
 {
     const auto known = m_requests.find(digest);
     return known == m_requests.end() ? 0 : known->second.ends.size();
