--- a/include/vanilladyke/traffic/asio.hpp
+++ b/include/vanilladyke/traffic/asio.hpp
@@ -17,20 +17,21 @@
 
 #include "vanilladyke/model/ids.hpp"
 
-/// Asio as the traffic core uses it: one thread for each context, errors as values.
+/// Asio includes, aliases and helpers for the traffic core, which runs each context on one thread
+/// and handles errors as values.
 namespace vanilladyke {
 
 namespace asio = boost::asio;
 using Tcp = boost::asio::ip::tcp;
 using ErrorCode = boost::system::error_code;
 
-/// @brief Completes a coroutine's wait with the error in @p error instead of an exception.
+/// @brief Completion token for co_await that stores a failure in @p error instead of throwing.
 [[nodiscard]] inline auto into(ErrorCode &error)
 {
     return asio::redirect_error(asio::use_awaitable, error);
 }
 
-/// @brief The address in Asio's form; none if the host is no IP number.
+/// @brief Converts to an Asio endpoint. @param error set if the host is not an IP address
 [[nodiscard]] inline Tcp::endpoint toAsio(const Endpoint &endpoint, ErrorCode &error)
 {
     return {asio::ip::make_address(endpoint.host, error), endpoint.port};
--- a/include/vanilladyke/traffic/backend_pool.hpp
+++ b/include/vanilladyke/traffic/backend_pool.hpp
@@ -13,14 +13,15 @@
 #include <unordered_map>
 #include <vector>
 
-/// Connections to backend servers.
+/// Pool of keep-alive connections to backend servers.
 ///
-/// What goes wrong with kept connections: the server closes one just as a request goes out, sends a
-/// second answer that nobody asked for, or the path goes silent for good. Idle connections are
-/// watched, so that a close or stray bytes end them at once; one in any doubt is never used again.
+/// Reusing a connection fails if the server closes it while a request is being sent, if the server
+/// sends an unsolicited second answer, or if the network path stops delivering packets. Idle
+/// connections are therefore monitored and closed on a remote close or on unexpected bytes. A
+/// connection whose state is uncertain is closed instead of being reused.
 namespace vanilladyke {
 
-/// @brief One connection; used by one exchange at a time.
+/// @brief A connection to a backend server. At most one exchange uses it at a time.
 struct BackendConnection : std::enable_shared_from_this<BackendConnection>
 {
     BackendConnection(asio::io_context &context, EngineId engineId)
@@ -36,52 +37,60 @@
     boost::beast::flat_buffer buffer;
     EngineId engine;
     std::shared_ptr<Timed> timed;
-    std::string head; ///< of the request that is being written
+    std::string head; ///< head of the request being written
     std::optional<TimePoint> usableUntil;
     bool isOpen = false;
     bool isIdle = false;
     bool isWriting = false;
     bool isReused = false;
-    std::uint64_t use = 0; ///< counts the times that it was taken
+    std::uint64_t use = 0; ///< number of times the connection was taken from the pool
     std::shared_ptr<int> openCountOwner;
 };
 
 using BackendConnectionPtr = std::shared_ptr<BackendConnection>;
 
-/// @brief All connections of one node.
+/// @brief All backend connections of one node.
 class BackendPool
 {
 public:
-    /// Long enough for a lost opening packet to be noticed, short enough to try another server.
+    /// Leaves time to detect a lost SYN and still try another server.
     static constexpr Duration ConnectTimeout = std::chrono::milliseconds(500);
-    /// A server that states no time keeps idle connections at least about this long.
+    /// Assumed for a server that announces no keep-alive time: servers keep idle connections at
+    /// least about this long.
     static constexpr Duration DefaultKeepAlive = std::chrono::seconds(4);
-    /// Closes and requests cross within this span.
+    /// Idle connections are dropped this long before the server's keep-alive time ends, so that a
+    /// request does not cross with the server's close.
     static constexpr Duration KeepAliveMargin = std::chrono::milliseconds(700);
 
     BackendPool(asio::io_context &context, Ticker &ticker);
 
-    /// @brief An idle connection to the server, if there is one. @param now for its age
+    /// @brief Takes the most recently used idle connection to the server that has not expired.
+    /// @return null if there is none
     [[nodiscard]] BackendConnectionPtr take(const EngineId &engine, TimePoint now);
-    /// @brief Opens a connection. @param why set if none came about
-    /// @return null if none came about in time
+    /// @brief Opens a connection.
+    /// @param why set to the error if the connection fails
+    /// @return null on failure or after ConnectTimeout
     [[nodiscard]] asio::awaitable<BackendConnectionPtr> connect(EngineId engine, Endpoint endpoint,
                                                                 ErrorCode *why = nullptr);
-    /// @brief Gives a connection back after a whole answer.
+    /// @brief Returns a connection to the pool after a complete answer.
+    /// @param keepAlive time that the server announced; none if it announced none
     void giveBack(const BackendConnectionPtr &connection, std::optional<Duration> keepAlive,
                   TimePoint now);
+    /// @brief Number of open connections to the server, idle or in use.
     [[nodiscard]] int openTo(const EngineId &engine) const;
+    /// @brief Number of connection attempts since the start.
     [[nodiscard]] std::uint64_t opened() const { return m_opened; }
-    /// @brief Closes idle connections to servers that are gone, and those whose time is over.
+    /// @brief Closes idle connections that have expired or whose server is no longer known.
     void tidy(const std::function<bool(const EngineId &)> &isKnown, TimePoint now);
 
 private:
     struct PerEngine
     {
-        std::vector<BackendConnectionPtr> idle; ///< last used last
+        std::vector<BackendConnectionPtr> idle; ///< least recently used first
         std::shared_ptr<int> open = std::make_shared<int>(0);
     };
 
+    /// Closes an idle connection when the server closes it or sends anything on it.
     void watch(const BackendConnectionPtr &connection);
 
     asio::io_context &m_context;
@@ -90,7 +99,8 @@
     std::uint64_t m_opened = 0;
 };
 
-/// @brief Detects a path that went silent while data or a probe is unacknowledged.
+/// @brief Sets TCP_USER_TIMEOUT: the kernel resets the connection if sent data or a keep-alive
+/// probe stays unacknowledged for @p timeout.
 void setSilenceTimeout(Tcp::socket &socket, Duration timeout);
 
 } // namespace vanilladyke
--- a/src/vanilladyke/traffic/backend_pool.cpp
+++ b/src/vanilladyke/traffic/backend_pool.cpp
@@ -12,7 +12,7 @@
 {
     const auto millis = static_cast<unsigned>(
             std::chrono::duration_cast<std::chrono::milliseconds>(timeout).count());
-    // Without effect where the option is unknown; the exchange's own deadline holds anyway.
+    // Failure is ignored: on systems without the option the exchange's deadline still applies.
     static_cast<void>(setsockopt(socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &millis,
                                  sizeof millis));
 }
@@ -115,7 +115,7 @@
             Tcp::socket::wait_read, [weak, use = connection->use](const ErrorCode &error) {
                 const auto idle = weak.lock();
                 if (idle && !error && idle->isIdle && idle->use == use) {
-                    idle->close(); // closed by the server, or bytes that belong to no request
+                    idle->close(); // closed by the server, or data that belongs to no request
                 }
             });
 }
