--- a/include/vanilladyke/traffic/traffic_server.hpp
+++ b/include/vanilladyke/traffic/traffic_server.hpp
@@ -4,34 +4,35 @@
 
 #include <list>
 
-/// The listening side of a node.
+/// Listeners of a node for callers, readiness probes and metrics.
 namespace vanilladyke {
 
-/// @brief Where a node listens.
+/// @brief Addresses on which a node listens.
 struct ListenSettings
 {
     Endpoint callers;
-    Endpoint ready; ///< the platform asks here whether new connections may come
+    Endpoint ready; ///< for the platform's readiness probes
     std::string readyPath;
     std::optional<Endpoint> metrics;
 };
 
-/// @brief Accepts callers and answers the platform's questions. Lives on one context's thread.
+/// @brief Accepts callers and serves the readiness and metrics endpoints. For use on the context's
+/// thread only.
 class TrafficServer
 {
 public:
     TrafficServer(TrafficState &state, ListenSettings settings);
 
-    /// @brief Opens the ports. @return what failed, or none
+    /// @brief Starts listening. @return the error with its address; none on success
     [[nodiscard]] std::optional<std::string> listen();
-    /// @brief Not ready from now on; connections end with their next answer.
+    /// @brief Reports not ready from now on and closes each connection after its next answer.
     void announceStop();
-    /// @brief Takes no connection any more and closes those on which no request is under way.
+    /// @brief Stops accepting connections and closes those without a request in progress.
     void leave();
     [[nodiscard]] bool isIdle() const { return m_state.openExchanges->empty(); }
-    /// @brief Whether the node is ready for new connections.
+    /// @brief Whether the readiness probe succeeds.
     [[nodiscard]] bool isReady() const;
-    /// @brief Text for the metrics address.
+    /// @brief Supplies text to append to the metrics page.
     std::function<std::string()> metricsText;
 
 private:
--- a/src/vanilladyke/traffic/caller_session.cpp
+++ b/src/vanilladyke/traffic/caller_session.cpp
@@ -13,13 +13,15 @@
 
 namespace {
 
-/// A caller that takes no bytes for this long is gone; the deadline of its request is over by then.
+/// A caller that accepts no data for this long is considered gone. Its request's deadline has
+/// passed by then.
 constexpr Duration WriteTimeout = std::chrono::seconds(10);
-/// For a body of the greatest size over a slow link.
+/// Allows for a body of maximum size over a slow link.
 constexpr Duration BodyTimeout = std::chrono::seconds(10);
 constexpr std::size_t ReadBytes = 4096;
 constexpr std::size_t MostBuffered = 65536;
 
+/// HTTP status for a failed read; 0 if the connection broke and nobody can receive an answer.
 int statusFor(const ErrorCode &error)
 {
     if (error == http::error::header_limit) {
@@ -86,7 +88,7 @@
             break;
         }
         ErrorCode ignored;
-        m_socket.cancel(ignored); // the watch for the caller's close
+        m_socket.cancel(ignored); // ends the wait that watchForClose() started
     }
     close();
 }
@@ -165,7 +167,7 @@
 void CallerSession::watchForClose()
 {
     if (m_buffer.size() > 0) {
-        return; // the next request is here already, so the caller is
+        return; // a pipelined request has arrived: the socket is readable without a close
     }
     m_socket.async_wait(Tcp::socket::wait_read,
                         [self = shared_from_this(),
--- a/src/vanilladyke/traffic/traffic_server.cpp
+++ b/src/vanilladyke/traffic/traffic_server.cpp
@@ -11,7 +11,8 @@
 
 namespace {
 
-/// After an accept failed for want of descriptors, others may end meanwhile.
+/// Delay after a failed accept: without file descriptors left, retrying at once would spin until
+/// other connections are closed.
 constexpr Duration AcceptPause = std::chrono::milliseconds(50);
 constexpr Duration PlainTimeout = std::chrono::seconds(5);
 constexpr std::size_t AcceptsBetweenSweeps = 256;
