--- a/include/vanilladyke/traffic/dialect.hpp
+++ b/include/vanilladyke/traffic/dialect.hpp
@@ -10,77 +10,79 @@
 #include <string>
 #include <vector>
 
-/// What the traffic core knows of a request and an answer, without the names that callers and
-/// backend servers use for it. A dialect translates; the core decides.
+/// Requests and answers as the traffic core represents them, independent of the HTTP header names
+/// that callers and backend servers use. A Dialect translates between the two.
 namespace vanilladyke {
 
-/// @brief One part of a prompt, in the prompt's order.
+/// @brief One part of a prompt. Parts are listed in prompt order.
 struct PromptPart
 {
     std::string id;
     std::uint64_t tokens = 0;
 };
 
-/// @brief One attempt of a caller.
+/// @brief A request as a caller sent it. A repetition by the caller is another request.
 struct CallerRequest
 {
     std::string method;
-    std::string target; ///< path and query as the caller sent them
+    std::string target; ///< path and query, unchanged
     std::string host;
-    std::string id; ///< of the attempt; the caller's own
+    std::string id; ///< chosen by the caller, for each attempt
     TimePoint arrived;
-    std::optional<TimePoint> deadline; ///< how long the caller waits
+    std::optional<TimePoint> deadline; ///< end of the caller's own timeout
     std::optional<std::string> key;
-    ModelId model; ///< empty if none is named
+    ModelId model; ///< empty if the request specifies none
     std::uint64_t promptTokens = 0;
     std::uint64_t mostOutputTokens = 0;
     std::vector<PromptPart> parts;
-    std::string lastEventId; ///< the caller resumes a stream behind this event
-    std::string passedOn;    ///< header lines for the backend server as they came, with line ends
+    std::string lastEventId; ///< the caller resumes a stream after this event
+    std::string passedOn;    ///< header lines to forward unchanged, each with its line end
     std::string body;
     bool keepsConnection = true;
 };
 
-/// @brief What goes with a request to one backend server.
+/// @brief Headers that this node adds when it forwards a request to a backend server.
 struct SendTerms
 {
     TimePoint deadline;
-    EngineId expected;                 ///< any other server refuses the request
-    std::uint64_t weights = 0;         ///< any other version refuses it; 0 leaves it open
-    CustomerId customer;               ///< empty if the request needs no key
-    int urgency = 5;                   ///< 0 goes first, 9 last
-    std::string cacheSalt;             ///< cached work is only found under the same text
-    std::optional<Endpoint> fetchFrom; ///< parts that the engine lacks may be there
-    std::optional<Endpoint> saveTo;    ///< parts that it reads go there
-    std::string resumeAfter;           ///< last event that the caller has
+    EngineId expected;         ///< a server with another id refuses the request
+    std::uint64_t weights = 0; ///< a server on another version refuses the request; 0: any version
+    CustomerId customer;       ///< empty if the request needs no key
+    int urgency = 5;           ///< 0 (first) to 9 (last)
+    std::string cacheSalt;     ///< cached work is shared only between equal salts
+    /// Engine or store that may have parts that the engine lacks.
+    std::optional<Endpoint> fetchFrom;
+    std::optional<Endpoint> saveTo; ///< store that receives the parts that the engine prefills
+    std::string resumeAfter;        ///< id of the last event that the caller has received
 };
 
-/// @brief A server's load as it tells it.
+/// @brief Number of requests at a server, as the server reports it.
 struct ReportedLoad
 {
     int running = 0;
     int waiting = 0;
 };
 
-/// @brief The head of a backend server's answer.
+/// @brief Status line and headers of a backend server's answer.
 struct AnswerHead
 {
     int status = 0;
     std::string reason;
-    std::string requestId; ///< empty if the server names none
-    bool isStamped = false;
-    bool isNotExecuted = false; ///< the server says that it did not run the request
-    bool isEncoded = false;     ///< the body is not the server's own bytes
-    bool closes = false;
-    std::optional<Duration> keepAlive; ///< how long the server keeps an idle connection
+    std::string requestId;      ///< empty if the answer has none
+    bool isStamped = false;     ///< has the response stamp of a backend server
+    bool isNotExecuted = false; ///< the server states that it did not run the request
+    /// The body has a content coding, so it is not what the server itself sent.
+    bool isEncoded = false;
+    bool closes = false;               ///< the server closes the connection after this answer
+    std::optional<Duration> keepAlive; ///< time for which the server keeps an idle connection open
     std::optional<std::uint64_t> weights;
     std::optional<ReportedLoad> load;
-    /// Requests that the server takes from all nodes together; none: it names no limit.
+    /// Rate limit of the server over all nodes, in requests per second; none if it reports none.
     std::optional<double> requestsPerSecond;
-    std::string passedOn; ///< header lines for the caller, with line ends
+    std::string passedOn; ///< header lines to forward to the caller, each with its line end
 };
 
-/// @brief A request that can't be read, with the reason for the caller.
+/// @brief A request whose headers can't be parsed, with the reason.
 struct BadHead
 {
     std::string reason;
@@ -88,7 +90,9 @@
 
 using HttpFields = boost::beast::http::fields;
 
-/// @brief Translates between the wire and the core. Functions, since it crosses libraries.
+/// @brief Translates between HTTP headers and the types of the traffic core.
+///
+/// Holds functions, so that the library that defines the headers stays independent of this one.
 struct Dialect
 {
     std::function<Outcome<CallerRequest, BadHead>(const HttpFields &fields, TimePoint now)>
