--- a/include/vanilladyke/traffic/engine_ends.hpp
+++ b/include/vanilladyke/traffic/engine_ends.hpp
@@ -7,33 +7,33 @@
 #include <memory>
 #include <unordered_map>
 
-/// Tells an engine whose process ended from one whose connection broke off.
+/// Determines whether a lost connection means that the engine's process has ended.
 ///
-/// A reset connection may come from a process that ended, from something on the path, or from an
-/// engine that sheds or breaks off one answer. Only the first leaves nobody who listens at the
-/// address: a connection that is refused at once shows it. Silence shows nothing.
+/// A connection reset may also come from the network path or from an engine that sheds load or
+/// aborts one answer. Only a process that has ended no longer listens on its port, so a new
+/// connection is refused at once. A timeout proves nothing.
 namespace vanilladyke {
 
-/// @brief The checks of one node. Lives on the traffic thread.
+/// @brief Runs and caches the checks of one node. For use on the traffic thread only.
 class EngineEnds
 {
 public:
-    /// An engine that lives, or a host that is reached, answers sooner from any data centre near.
+    /// A reachable host in a nearby data centre accepts or refuses a connection sooner.
     static constexpr Duration Patience = std::chrono::milliseconds(150);
-    /// What a check showed holds for others that lost the same engine at that moment; a little
-    /// later the engine may have ended after all.
+    /// How long a negative result is reused. It is shared by the requests that lost their
+    /// connection to the engine at the same moment; later the engine may have ended after all.
     static constexpr Duration ResultLife = std::chrono::milliseconds(50);
 
     EngineEnds(asio::io_context &context, BackendPool &pool);
 
-    /// @brief Asks whether anybody listens at the engine's address; one check at a time for each.
-    /// A connection that comes about is kept for requests.
+    /// @brief Checks whether the engine still accepts connections; concurrent calls for one engine
+    /// share a check. A connection that is established goes into the pool.
     [[nodiscard]] asio::awaitable<bool> hasEnded(EngineId engine, Endpoint endpoint);
-    /// @brief Whether the request left later than the engine was seen to have ended.
+    /// @brief Whether the engine was found to have ended before the request was sent.
     [[nodiscard]] bool wasKnownEnded(const EngineId &engine, TimePoint sentAt) const;
 
 private:
-    /// How long an ended engine is remembered; its id never comes again.
+    /// How long the result for an ended engine is kept. A restarted engine has a new id.
     static constexpr Duration Memory = std::chrono::seconds(30);
 
     struct Check
@@ -45,7 +45,7 @@
             done.expires_after(Patience);
         }
 
-        asio::steady_timer done; ///< cancelled when the check is over
+        asio::steady_timer done; ///< cancelled when the check completes
         bool isOver = false;
         bool hasEnded = false;
         TimePoint at;
--- a/src/vanilladyke/traffic/engine_ends.cpp
+++ b/src/vanilladyke/traffic/engine_ends.cpp
@@ -43,7 +43,7 @@
     LogEvent("engine_checked")
             .field("backend", engine.str())
             .field("ended", check->hasEnded)
-            .field("why", why ? why.message() : "it listens")
+            .field("why", why ? why.message() : "connection accepted")
             .field("took_ms", MonotonicClock::now() - check->at);
 }
 
--- a/src/vanilladyke/traffic/engine_ends_test.cpp
+++ b/src/vanilladyke/traffic/engine_ends_test.cpp
@@ -9,7 +9,7 @@
 class EngineEndsTest : public ::testing::Test
 {
 protected:
-    /// Asks once for each of @p times, all at the same moment. @return how often it had ended
+    /// Starts @p times checks concurrently. @return how many reported that the engine has ended
     int ask(const Endpoint &endpoint, int times)
     {
         int ended = 0;
@@ -25,7 +25,7 @@
                     asio::detached);
         }
         while (answered < times) {
-            context.run_one(); // the connection that is kept goes on waiting
+            context.run_one(); // run() would not return: the pooled connection keeps a pending wait
         }
         return ended;
     }
@@ -36,7 +36,7 @@
     EngineEnds ends{context, pool};
 };
 
-// A request that lost its connection would be held to have ended an engine that lives.
+// Guards against blaming a request that lost its connection for ending an engine that still runs.
 TEST_F(EngineEndsTest, AnEngineThatListensHasNotEnded)
 {
     Tcp::acceptor acceptor(context, Tcp::endpoint(asio::ip::address_v4::loopback(), 0));
