--- a/include/vanilladyke/traffic/event_splitter.hpp
+++ b/include/vanilladyke/traffic/event_splitter.hpp
@@ -3,20 +3,20 @@
 #include <string>
 #include <string_view>
 
-/// Cuts a stream of server-sent events into whole events.
+/// Splits a stream of server-sent events (SSE) at event boundaries.
 namespace vanilladyke {
 
-/// @brief Holds back the beginning of an event until its end has come.
+/// @brief Buffers an incomplete event until its end has been received.
 class EventSplitter
 {
 public:
-    /// @brief Takes in bytes. @return all events that are whole now, as they came
+    /// @brief Appends received bytes. @return all events that are complete, byte for byte
     [[nodiscard]] std::string feed(std::string_view bytes);
-    /// @brief The id of the last whole event; empty if none had one.
+    /// @brief Id of the last complete event that had one; empty if none had.
     [[nodiscard]] const std::string &lastId() const { return m_lastId; }
-    /// @brief Whether an event has begun that is not whole.
+    /// @brief Whether an incomplete event is buffered.
     [[nodiscard]] bool isInside() const { return !m_pending.empty(); }
-    /// @brief The bytes of the event that has begun, which are then forgotten.
+    /// @brief Returns the bytes of the incomplete event and clears the buffer.
     [[nodiscard]] std::string takePending();
 
 private:
--- a/include/vanilladyke/traffic/ticker.hpp
+++ b/include/vanilladyke/traffic/ticker.hpp
@@ -10,14 +10,14 @@
 #include <memory>
 #include <optional>
 
-/// One timer for all deadlines of a traffic thread.
+/// A single timer for all deadlines of a traffic thread.
 ///
-/// A timer for each read and write would cost a system call whenever the earliest deadline changes,
-/// which on a host with a quarter of a core is a large part of a request. Deadlines here are
-/// checked every Step instead, so they fire up to Step late.
+/// A separate Asio timer for each read and write would cost a system call whenever the earliest
+/// deadline changes, which is a large part of a request's cost on a host with a quarter of a core.
+/// Deadlines are checked once every Step instead, so they fire up to Step late.
 namespace vanilladyke {
 
-/// @brief Something with a deadline. It leaves the ticker when it is destroyed.
+/// @brief A deadline with a callback. The ticker holds it weakly: destroying it unregisters it.
 class Timed
 {
 public:
@@ -26,10 +26,10 @@
     Timed &operator=(const Timed &) = delete;
 
     std::optional<TimePoint> dueAt;
-    std::function<void()> onDue; ///< called once for each deadline; may set the next one
+    std::function<void()> onDue; ///< called once per deadline; may set dueAt again
 };
 
-/// @brief Calls what is due. All members on the thread of its context.
+/// @brief Runs the callbacks of expired deadlines. For use on the context's thread only.
 class Ticker
 {
 public:
@@ -40,7 +40,7 @@
     void add(const std::shared_ptr<Timed> &timed) { m_timed.emplace_back(timed); }
     void start();
     void stop();
-    /// @brief Called at each step.
+    /// @brief Called once every Step.
     std::function<void(TimePoint)> onStep;
 
 private:
--- a/include/vanilladyke/traffic/traffic_state.hpp
+++ b/include/vanilladyke/traffic/traffic_state.hpp
@@ -18,27 +18,27 @@
 #include <memory>
 #include <unordered_set>
 
-/// What all exchanges of a traffic thread share.
+/// State shared by all exchanges of a traffic thread.
 namespace vanilladyke {
 
 class Exchange;
 
-/// @brief Fixed at start.
+/// @brief Settings of the traffic thread.
 struct TrafficSettings
 {
     std::uint64_t self = 0; ///< hash of the node's name
     DataCentreId dataCentre;
     BackendRates rates;
-    Duration keysValidFor = std::chrono::milliseconds(4500); ///< after they were last proved
-    bool failsClosed = true; ///< without proof of the keys' age no request with a key passes
-    bool withdraws = true;   ///< what has not begun when its server's weights are too old
-    bool sendsAgain = true;  ///< what may be repeated, to a second server
-    bool resumes = true;     ///< streams that broke off, at another server
-    bool quarantines = true; ///< requests under which engines end
-    std::vector<WorkDigest> freedRequests; ///< let go by an operator
+    Duration keysValidFor = std::chrono::milliseconds(4500); ///< after their last freshness proof
+    bool failsClosed = true; ///< refuses requests with a key without a valid freshness proof
+    bool withdraws = true;   ///< withdraws requests that have not begun when old weights expire
+    bool sendsAgain = true;  ///< retries repeatable requests on another server
+    bool resumes = true;     ///< resumes interrupted streams on another server
+    bool quarantines = true; ///< quarantines requests under which engines end
+    std::vector<WorkDigest> freedRequests; ///< released from quarantine by an operator
 };
 
-/// @brief State of the traffic thread. Only that thread touches it.
+/// @brief State of the traffic thread, accessed from that thread only.
 struct TrafficState
 {
     TrafficState(asio::io_context &ioContext, Dialect wireDialect, TrafficSettings fixed,
@@ -56,14 +56,14 @@
         quarantine.setFreed(settings.freedRequests);
     }
 
-    /// @brief Whether the node can show that its configuration and keys are young enough.
+    /// @brief Whether the freshness proof of the configuration and keys is still valid.
     [[nodiscard]] bool isFresh() const
     {
         return table != nullptr && configAge() <= settings.keysValidFor;
     }
 
-    /// @brief Takes in when weights were named, and logs it if that is news.
-    /// @param by who told, for the log
+    /// @brief Records when weights were announced, and logs it if it changes the recorded date.
+    /// @param by source of the date, for the log
     void dateWeights(const NamedWeights &weights, DateGrounds grounds, std::string_view by);
 
     asio::io_context &context;
@@ -79,20 +79,21 @@
     RequestQuarantine quarantine;
     Random random;
     Metrics metrics;
-    std::shared_ptr<const RouteTable> table; ///< null until a configuration is known
-    std::size_t nodes = 1;                   ///< that share the backend servers' connections
-    bool isStopping = false;                 ///< not ready any more; requests are still served
-    bool isLeaving = false; ///< no new request is begun: it might not end before the process does
-    /// Age of the newest proof that the configuration is the newest, on a clock that counts
+    std::shared_ptr<const RouteTable> table; ///< null until a configuration is received
+    std::size_t nodes = 1;                   ///< number of nodes that share the retry budget
+    bool isStopping = false;                 ///< reports not ready; requests are still served
+    /// Refuses new requests, because they might not complete before the process exits.
+    bool isLeaving = false;
+    /// Age of the latest freshness proof of the configuration, on a clock that includes time in
     /// suspension.
     std::function<Duration()> configAge = [] { return Duration::max(); };
-    /// Shared: an exchange may outlive the state while a context is taken down.
+    /// Shared, because an exchange may outlive this state when the context is destroyed.
     std::shared_ptr<std::unordered_set<Exchange *>> openExchanges =
             std::make_shared<std::unordered_set<Exchange *>>();
-    /// Up to which offset this node knows the operator's records.
+    /// Offset of the first operator record that this node has not read.
     std::function<std::uint64_t()> operatorNext = [] { return std::uint64_t{0}; };
-    std::function<void(const std::vector<Endpoint> &)> peersChanged; ///< nodes came or went
-    std::function<void()> tellPeers = [] {}; ///< news of servers that others should have at once
+    std::function<void(const std::vector<Endpoint> &)> peersChanged; ///< called with the new list
+    std::function<void()> tellPeers = [] {}; ///< sends urgent updates to other nodes without delay
 };
 
 } // namespace vanilladyke
--- a/src/vanilladyke/traffic/event_splitter.cpp
+++ b/src/vanilladyke/traffic/event_splitter.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Where the last whole event ends; 0 if none does.
+/// Offset just past the last complete event; 0 if there is none.
 std::size_t endOfEvents(std::string_view text)
 {
     std::size_t end = 0;
