--- a/include/vanilladyke/traffic/exchange.hpp
+++ b/include/vanilladyke/traffic/exchange.hpp
@@ -8,27 +8,28 @@
 #include <boost/beast/http/buffer_body.hpp>
 #include <boost/beast/http/parser.hpp>
 
-/// One attempt of a caller, from the choice of a backend server to the last byte of the answer.
+/// Handling of one caller request, from the choice of a backend server to the last byte of the
+/// answer.
 namespace vanilladyke {
 
-/// @brief Where an exchange writes its answer; the caller's connection.
+/// @brief Destination of an exchange's answer: the caller's connection.
 class AnswerSink
 {
 public:
     virtual ~AnswerSink() = default;
-    /// @brief Writes bytes. @return false if the caller is gone
+    /// @brief Writes bytes. @return false if the caller has disconnected
     [[nodiscard]] virtual asio::awaitable<bool> write(std::string bytes) = 0;
-    /// @brief Header line that says whether the connection stays open, with its line end.
+    /// @brief "Connection" header line with its line end; empty if the connection stays open.
     [[nodiscard]] virtual std::string connectionLine() = 0;
 };
 
-/// @brief How an exchange ended for the caller's connection.
+/// @brief Result of an exchange for the caller's connection.
 enum class ExchangeEnd {
-    Answered, ///< a whole answer was written
-    Broken,   ///< the answer is not whole; the connection must end
+    Answered, ///< a complete answer was written
+    Broken,   ///< the answer is incomplete; the connection has to be closed
 };
 
-/// @brief Carries one request through as many backend servers as it takes and as are allowed.
+/// @brief Forwards one request, with retries on other backend servers within the route's limits.
 class Exchange : public std::enable_shared_from_this<Exchange>
 {
 public:
@@ -38,59 +39,66 @@
     Exchange &operator=(const Exchange &) = delete;
 
     [[nodiscard]] asio::awaitable<ExchangeEnd> run();
-    /// @brief The caller closed its connection: nobody waits for the answer any more.
+    /// @brief The caller closed its connection; aborts the current try.
     void callerLeft();
-    /// @brief Takes the request back from the engine where it waits, on every open exchange that
-    /// carries it.
+    /// @brief Withdraws a quarantined request from the engines where it waits: aborts every open
+    /// exchange with this digest that has not received a first byte.
     static void withdrawHeld(TrafficState &state, const WorkDigest &held);
 
 private:
-    /// Less than this is not enough to connect, ask and answer.
+    /// With less time than this left, no try is started: it could not connect and get an answer.
     static constexpr Duration LeastTimeForTry = std::chrono::milliseconds(30);
 
     using AnswerParser = boost::beast::http::response_parser<boost::beast::http::buffer_body>;
 
-    /// How one try ended.
+    /// Result of one try at a backend server.
     enum class TryEnd {
-        Delivered,   ///< the caller has the whole answer
-        NotExecuted, ///< the server says that it did not run the request
-        Unreached,   ///< no connection
-        Failed,      ///< the server answered with a failure, kept in m_failure
-        Lost,        ///< no whole answer, nothing of it given to the caller
-        Interrupted, ///< the answer broke off after the caller had a part of it
+        Delivered,   ///< the complete answer was written to the caller
+        NotExecuted, ///< the server states that it did not run the request
+        Unreached,   ///< nothing was sent: no connection, or no room at the server any more
+        Failed,      ///< the server answered with a 5xx status; the answer is in m_failure
+        Lost,        ///< no complete answer, and nothing of it was written to the caller
+        Interrupted, ///< the answer ended early after a part of it was written to the caller
     };
 
     [[nodiscard]] static std::string_view nameOf(TryEnd end);
 
-    /// An answer that failed, kept in case no other server does better.
+    /// A 5xx answer, delivered to the caller if no other server gives a better one.
     struct Failure
     {
         AnswerHead head;
         std::string body;
     };
 
+    /// Finds the route and customer and sets the deadlines. @return why the request is refused, if
+    /// it is
     [[nodiscard]] std::optional<Refusal> admit();
     [[nodiscard]] BackendQuery query() const;
     [[nodiscard]] int urgency() const;
-    /// When a request that would wait too long at the server may come back.
+    /// When the caller may retry a request that would wait too long at the server; none if the
+    /// request may be sent there.
     [[nodiscard]] std::optional<TimePoint> comesTooLate(const BackendChoice &choice,
                                                         TimePoint now) const;
     [[nodiscard]] SendTerms termsFor(const BackendChoice &choice) const;
+    /// Waits until a server may be available. @return false if there is no time left for that
     [[nodiscard]] asio::awaitable<bool> waitForBackend(const NoBackend &none);
     [[nodiscard]] asio::awaitable<BackendConnectionPtr> connectionTo(const BackendChoice &choice);
     [[nodiscard]] asio::awaitable<TryEnd> tryBackend(const BackendChoice &choice);
-    /// @brief What became of the server under a try that ended so.
+    /// Checks after a lost connection whether the engine has ended, and if so, counts that against
+    /// the request.
     [[nodiscard]] asio::awaitable<void> noteEnd(const BackendChoice &choice, TryEnd end,
                                                 TimePoint sentAt);
     [[nodiscard]] std::uint64_t customerHash() const;
-    /// Until when the request is sent to no engine, since engines ended under it.
+    /// End of the request's quarantine; none if it is not quarantined.
     [[nodiscard]] std::optional<TimePoint> heldUntil(TimePoint now) const;
-    /// A server answered the request whole.
+    /// Clears the request of suspicion after a complete answer.
     void noteWholeAnswer();
-    /// Names the work, as other nodes do; none until the fleet's key is known.
+    /// Digest that identifies the request's work on all nodes; none until the fleet's key is known.
     [[nodiscard]] std::optional<WorkDigest> digest() const;
+    /// Sends the request and handles the answer.
     [[nodiscard]] asio::awaitable<TryEnd> converse(const BackendChoice &choice,
                                                    const BackendConnectionPtr &connection);
+    /// Forwards the events of a stream as they become complete.
     [[nodiscard]] asio::awaitable<TryEnd> relayEvents(const BackendChoice &choice,
                                                       const BackendConnectionPtr &connection,
                                                       AnswerParser &parser, const AnswerHead &head);
@@ -99,24 +107,32 @@
     [[nodiscard]] asio::awaitable<bool> readWhole(BackendConnection &connection,
                                                   AnswerParser &parser, std::string *out);
     void startWriting(const BackendChoice &choice, const BackendConnectionPtr &connection);
+    /// Records the load, rate limit and weights that an answer reports.
     void noteAnswer(const BackendChoice &choice, const AnswerHead &head);
+    /// Returns the connection to the pool if it can be reused; closes it otherwise.
     void release(const BackendConnectionPtr &connection, const AnswerParser &parser,
                  const AnswerHead &head);
     [[nodiscard]] int mostSends() const;
     [[nodiscard]] bool mayRepeat() const;
     [[nodiscard]] bool maySendAgain(TryEnd end) const;
+    /// Writes the final answer when no try delivered one.
     [[nodiscard]] asio::awaitable<ExchangeEnd> giveUp();
     [[nodiscard]] asio::awaitable<ExchangeEnd> refuse(int status, std::string_view reason,
                                                       std::optional<Duration> retryAfter);
     [[nodiscard]] asio::awaitable<bool> deliver(const AnswerHead &head, const std::string &body);
-    /// @brief Until when the try under way may stay silent.
+    /// Sets the time by which the server has to send its next data; none: only the deadline
+    /// applies.
     void setPatience(std::optional<TimePoint> until);
+    /// Called when the timer expires: ends the request at its deadline, or aborts a try that has to
+    /// be withdrawn or whose server is unresponsive.
     void due();
-    /// When the request has to have begun on the weights of the server that it was sent to.
+    /// Latest time at which the request may begin on the weights of its server; later it is
+    /// withdrawn.
     [[nodiscard]] std::optional<TimePoint> beginBy() const;
     void scheduleDue(TimePoint now);
-    /// A silent server is left only for another one that may be asked, with its share of the budget
-    /// taken before the answer that may still come is given up.
+    /// Reserves a retry for a try at an unresponsive server. The try may be aborted only if this
+    /// succeeds: another server is available and the retry budget allows it. Otherwise an answer
+    /// that may still arrive would be discarded without a replacement.
     [[nodiscard]] bool reserveSecondSend(TimePoint now);
     void abortTry();
     void log(int status, std::string_view outcome);
@@ -131,9 +147,9 @@
     ServiceId m_service;
     TimePoint m_deadline;
     std::optional<TimePoint> m_patienceEnd;
-    TimePoint m_waitUntil; ///< latest time at which a closed server is waited for
+    TimePoint m_waitUntil; ///< latest time until which to wait for an excluded server
     std::shared_ptr<Timed> m_timed;
-    BackendConnectionPtr m_connection; ///< of the try under way
+    BackendConnectionPtr m_connection; ///< of the current try
     asio::steady_timer m_wait;
     ExchangeState m_exchange;
     EventSplitter m_events;
@@ -143,19 +159,19 @@
     std::optional<TimePoint> m_firstByteAt;
     NoBackend m_none;
     std::optional<BackendChoice> m_choice; ///< of the last try
-    std::optional<Duration> m_weightsLeft; ///< at the last try, if newer weights were named
-    int m_sends = 0;                       ///< requests that reached a server
-    int m_runs = 0;                        ///< of them, those that may have run
+    std::optional<Duration> m_weightsLeft; ///< at the last try, if newer weights were announced
+    int m_sends = 0;                       ///< tries in which the request was sent
+    int m_runs = 0;                        ///< those of them in which it may have run
     int m_status = 0;
     bool m_callerLeft = false;
     bool m_timedOut = false;
     bool m_stalled = false;
-    bool m_isTooLate = false; ///< it would have waited too long at every server
+    bool m_isTooLate = false; ///< predicted wait too long at the best server
     bool m_headWritten = false;
     bool m_budgetSpent = false;
-    bool m_hasSecondSend = false; ///< taken from the budget and not used yet
-    bool m_engineEnded = false;   ///< the server of the last try ended under it
-    bool m_isWithdrawn = false;   ///< from an engine where it waited: it ends engines
+    bool m_hasSecondSend = false; ///< a retry was taken from the budget and not used yet
+    bool m_engineEnded = false;   ///< the engine of the last try was found to have ended
+    bool m_isWithdrawn = false;   ///< quarantined while it waited at an engine
 };
 
 } // namespace vanilladyke
--- a/src/vanilladyke/traffic/exchange.cpp
+++ b/src/vanilladyke/traffic/exchange.cpp
@@ -14,28 +14,35 @@
 
 namespace {
 
+/// Upper bound of an answer's body, in bytes.
 constexpr std::uint64_t LongestAnswer = 256ULL << 20U;
-/// A server that answered somebody else's request has at most so many stray answers queued.
+/// Number of answers to other requests that are skipped on a connection before it is given up.
 constexpr int MostStrayAnswers = 3;
-/// Servers that refuse before running cost little, but each is an arrival there.
+/// Includes servers that refuse without running the request: each such try still adds to their
+/// load.
 constexpr int MostSends = 4;
 constexpr int MostConnectFailures = 6;
-/// A prompt this long goes behind short ones of the same rank: it takes many of their times.
+/// Longer prompts are less urgent than short ones of the same priority: one of them takes as long
+/// as many short ones.
 constexpr std::uint64_t LongPromptTokens = 2048;
-/// A repeatable request waits so many targets for its first byte, then tries another server.
+/// A repeatable request waits this many target latencies for its first byte, then tries another
+/// server.
 constexpr int TargetsToWait = 3;
 constexpr Duration LeastPatience = std::chrono::milliseconds(450);
-/// A stream that broke off is worth more tries than a request that nobody has begun to answer.
+/// Limit of tries once a part of a stream was delivered. It is higher than MostSends, because a
+/// failure then loses what the caller already has.
 constexpr int MostResumes = 12;
 constexpr Duration ResumeTime = std::chrono::milliseconds(900);
-/// Bytes that have come and were not read yet are read within a few rounds of the event loop.
+/// Extension of a try's deadline while received bytes are unread: they are read within a few
+/// iterations of the event loop.
 constexpr Duration UnreadPatience = std::chrono::milliseconds(100);
-/// What a request needs to leave an engine's queue, and how late news of weights may be.
+/// Covers the time to remove a request from an engine's queue and the delay of weights updates.
 constexpr Duration WithdrawMargin = std::chrono::milliseconds(800);
-/// How often a request that waits is checked for weights that were named meanwhile.
+/// Interval at which a waiting request is checked for newly announced weights.
 constexpr Duration WeightsCheck = std::chrono::seconds(1);
 
-/// The first part with which half of the shared tokens are reached.
+/// Part that determines the preferred engine: the first that ends at or after half of the shared
+/// tokens. Prompts that differ only in later parts then prefer the same engine.
 std::string homePart(const std::vector<PromptPart> &parts, std::uint64_t shared)
 {
     std::uint64_t reached = 0;
@@ -157,7 +164,7 @@
     if (m_state.isLeaving) {
         return Refusal{RefusalReason::ShuttingDown, "node is stopping", Ran::No, now};
     }
-    // The next proof of the configuration's age is due within about a second.
+    // The next freshness proof of the configuration is due within about a second.
     const TimePoint nextProof = now + std::chrono::seconds(1);
     if (m_table == nullptr) {
         return Refusal{RefusalReason::NotReady, "no configuration yet", Ran::No, nextProof};
@@ -184,7 +191,7 @@
     }
     m_service = RouteTable::pickService(*m_route, uniform(m_state.random));
     m_resumeAfter = m_request.lastEventId;
-    // Waiting longer than half the target helps nobody: the caller can try another node.
+    // After half the target it is better for the caller to try another node.
     m_waitUntil = now + m_route->targetLatency / 2;
     m_deadline = now + m_route->timeout;
     if (m_request.deadline) {
@@ -260,7 +267,8 @@
         return terms;
     }
     if (choice.weights == 0) {
-        // Cached work must name its weights; without them the request shares with none.
+        // Cached work is valid for one version of the weights only. The version is unknown here, so
+        // the salt is unique and nothing is shared.
         terms.cacheSalt = "alone-" + m_request.id;
         return terms;
     }
@@ -268,7 +276,8 @@
     terms.cacheSalt =
             cacheSalt(m_request.model, choice.weights, isIsolated ? m_customer->id : CustomerId());
     terms.fetchFrom = choice.fetchFrom;
-    // What the store has is not saved again: the request's own part would push shared ones out.
+    // Set only if the store lacks the shared part. Saving the request's own part as well would
+    // evict shared parts.
     terms.saveTo = choice.saveTo;
     return terms;
 }
@@ -280,7 +289,7 @@
     const bool triedAll = !m_tried.empty() && m_none.retryAt > latest;
     if (triedAll || none.retryAt > latest || now >= latest) {
         if (none.isKnown && !m_tried.empty() && now < latest) {
-            m_tried.clear(); // a server that refused a moment ago may have room again
+            m_tried.clear(); // a server that refused before may have room by now
             constexpr Duration Pause = std::chrono::milliseconds(20);
             m_wait.expires_after(Pause);
             ErrorCode ignored;
@@ -339,7 +348,7 @@
     m_state.book.sent(choice, asked, now);
     if (m_state.book.limitOf(choice.backend.id)) {
         m_state.metrics.count("requests_to_limited_engines_total");
-        m_state.tellPeers(); // others draw on the same limit
+        m_state.tellPeers(); // all nodes share this limit
     }
     if (choice.saveTo) {
         const std::string salt = cacheSalt(asked.model, choice.weights, asked.isolated);
@@ -480,7 +489,7 @@
     connection->isWriting = true;
     const std::array<asio::const_buffer, 2> buffers{asio::buffer(head),
                                                     asio::buffer(m_request.body)};
-    // The answer may come before the body is out; both go on side by side.
+    // Writes in the background, because the answer may begin before the whole body is sent.
     asio::async_write(connection->socket, buffers,
                       [connection, self = shared_from_this()](const ErrorCode &error, std::size_t) {
                           connection->isWriting = error.failed();
@@ -515,7 +524,8 @@
             continue;
         }
         if (head.requestId != m_request.id && !head.requestId.empty()) {
-            // A second or late answer to another request; ours may still follow.
+            // A duplicate or late answer to another request; the answer to this one may still
+            // follow.
             sawStray = true;
             std::string ignored;
             const bool isWhole = co_await readWhole(*connection, parser, &ignored);
@@ -545,7 +555,7 @@
             co_return end;
         }
         if (m_headWritten) {
-            co_return TryEnd::Lost; // a stream can't go on with an answer of another kind
+            co_return TryEnd::Lost; // a started stream can only be continued by a stream
         }
         std::string body;
         const bool isWhole = co_await readWhole(*connection, parser, &body);
@@ -572,7 +582,7 @@
 {
     const TimePoint now = MonotonicClock::now();
     const EngineId &id = choice.backend.id;
-    if (head.status != 421) { // another engine at the same address says that
+    if (head.status != 421) { // 421 comes from another engine at the same address
         m_state.quarantine.engineLives(BackendBook::hashOf(id), now);
     }
     if (head.load) {
@@ -648,7 +658,7 @@
 {
     TimePoint next = m_patienceEnd ? std::min(*m_patienceEnd, m_deadline) : m_deadline;
     if (!m_request.model.empty()) {
-        // New weights may be named while the request waits.
+        // New weights may be announced while the request waits.
         next = std::min(next, beginBy().value_or(now + WeightsCheck));
     }
     m_timed->dueAt = next;
@@ -664,14 +674,15 @@
     }
     ErrorCode ignored;
     if (m_connection != nullptr && m_connection->socket.available(ignored) > 0) {
-        // The answer is here and only this node is behind.
+        // Data has arrived and this node has not read it yet, so the server is not unresponsive.
         m_patienceEnd = m_patienceEnd ? std::optional(now + UnreadPatience) : std::nullopt;
         scheduleDue(now);
         return;
     }
     const std::optional<TimePoint> begins = beginBy();
     if (begins && now >= *begins) {
-        // It would begin on weights whose time is over; another server has newer ones.
+        // Withdraw the request: it would begin on expired weights, and another server has newer
+        // ones.
         m_state.metrics.count("requests_withdrawn_total");
         m_stalled = true;
         abortTry();
--- a/src/vanilladyke/traffic/exchange_answers.cpp
+++ b/src/vanilladyke/traffic/exchange_answers.cpp
@@ -8,7 +8,7 @@
 #include <array>
 #include <cstdio>
 
-/// What an exchange gives its caller: a server's answer as it comes, or its own last word.
+/// The part of Exchange that writes to the caller: forwarded answers and the node's own refusals.
 namespace vanilladyke {
 
 namespace http = boost::beast::http;
@@ -17,11 +17,14 @@
 
 constexpr std::size_t PieceBytes = 16384;
 constexpr std::size_t LongestHeldAnswer = 8U << 20U;
-/// A resumable stream that pauses for so many of its longest good pauses is taken up elsewhere.
+/// A repeatable stream that pauses for this many times the route's longest regular pause is resumed
+/// on another server.
 constexpr int PausesToWait = 3;
-/// Callers give up after two seconds or more; a crowded engine may pause a stream for a second.
+/// Lower bound of that pause: an overloaded engine may pause a stream for one second, and callers
+/// time out after two seconds or more.
 constexpr Duration LeastSilence = std::chrono::milliseconds(1500);
 
+/// Encodes @p data as one chunk of the chunked transfer coding.
 std::string chunk(const std::string &data)
 {
     std::array<char, 24> size{};
@@ -98,7 +101,7 @@
         std::string bytes;
         const bool isGood = co_await readSome(*connection, parser, &bytes);
         if (m_stalled && !m_headWritten) {
-            co_return TryEnd::Lost; // given up while it was read; the rest will not come
+            co_return TryEnd::Lost; // aborted during the read; the connection is closed
         }
         if (!bytes.empty() && !m_firstByteAt) {
             m_firstByteAt = MonotonicClock::now();
@@ -106,8 +109,8 @@
             m_exchange.apply(ExchangeEvent::AnswerReceived);
         }
         if (!bytes.empty() && mayRepeat()) {
-            // Before the event is written on: the patience for the first one must not end while it
-            // is.
+            // Set before the event is forwarded. Otherwise the deadline for the first event could
+            // expire during the write and abort a stream that is on time.
             setPatience(MonotonicClock::now() + silence);
         }
         std::string whole = m_events.feed(bytes);
--- a/src/vanilladyke/traffic/exchange_test.cpp
+++ b/src/vanilladyke/traffic/exchange_test.cpp
@@ -136,7 +136,7 @@
     return size.data() + event + "\r\n";
 }
 
-/// One caller and a few scripted servers around the traffic core, on one thread.
+/// Runs the traffic core with one caller and several scripted backend servers on one thread.
 class ExchangeTest : public ::testing::Test
 {
 protected:
@@ -184,7 +184,8 @@
         entry.id = EngineId("e" + std::to_string(m_backends.size()));
         entry.service = ServiceId("s");
         entry.endpoint = m_backends.back()->endpoint();
-        // The first is the nearest, so that the order of tries is known.
+        // The first server is in the node's data centre, which makes the order of tries
+        // deterministic.
         entry.dataCentre = DataCentreId(m_backends.size() == 1 ? "here" : "there");
         entry.slots = 8;
         m_entries.push_back(entry);
@@ -207,7 +208,7 @@
 
     void send(const std::string &bytes) { asio::write(*m_caller, asio::buffer(bytes)); }
 
-    /// Reads an answer from the caller's connection. @return its status; 0 if it ended early
+    /// Reads an answer from the caller's connection. @return its status; 0 if it is incomplete
     int receive(std::string *body = nullptr)
     {
         http::response_parser<http::string_body> parser;
@@ -294,8 +295,8 @@
     EXPECT_NE(m_body.find(R"("ran":"no")"), std::string::npos);
 }
 
-// A booking's connection is reset after the request went out. It may have run: sent again, two
-// brands could have one panel; called "not run", the caller would send it again itself.
+// The connection is reset after a booking request was sent, so the request may have run. A retry,
+// or a caller that is told "not run" and repeats it, could book the same panel for two brands.
 TEST_F(ExchangeTest, ALostRequestThatMayNotRepeatIsNeitherSentAgainNorCalledNotRun)
 {
     put(RequestKind::Unsafe, false);
@@ -324,7 +325,8 @@
     EXPECT_EQ(m_body, "broken");
 }
 
-// An engine crashes in the middle of an event. The caller has to get every event once, in order.
+// An engine crashes in the middle of an event. The caller has to receive every event once and in
+// order.
 TEST_F(ExchangeTest, ABrokenStreamGoesOnBehindTheLastWholeEvent)
 {
     put(RequestKind::Stream, true);
@@ -343,8 +345,8 @@
     EXPECT_EQ(second.seen[0].fields.at("Resume"), "2");
 }
 
-// An engine is lost under overload, and the others refuse what comes: the caller has half of an
-// answer and would lose it although an engine has room some milliseconds later.
+// An engine fails under overload and the others refuse at first. Without another attempt the caller
+// would lose a half-delivered answer although an engine has room a few milliseconds later.
 TEST_F(ExchangeTest, ABrokenStreamIsTakenUpByAnEngineThatRefusedAtFirst)
 {
     put(RequestKind::Stream, true);
@@ -365,8 +367,8 @@
     EXPECT_EQ(m_body, "id: 1\ndata: d\n\nid: 2\ndata: d\n\n");
 }
 
-// The stream's engine is gone and the stream may not run twice. An end that looks complete would
-// give the caller half a campaign text as the whole.
+// The engine of a stream that may not run twice fails. A regular end of the stream would make the
+// caller take half a campaign text for the complete one.
 TEST_F(ExchangeTest, ABrokenStreamThatMayNotRepeatDoesNotLookWhole)
 {
     put(RequestKind::Stream, false);
@@ -376,7 +378,7 @@
     EXPECT_EQ(ask("1"), 0);
 }
 
-// A server answers a former request a second time, just as the next request comes in.
+// A server sends a duplicate answer to an earlier request on the connection of the next one.
 TEST_F(ExchangeTest, AnAnswerToAnotherRequestIsNotGivenToThisCaller)
 {
     auto &backend = serve([](const SeenRequest &seen) {
@@ -387,7 +389,8 @@
     EXPECT_EQ(m_body, "own");
     send(request("2"));
     EXPECT_EQ(receive(), 200);
-    EXPECT_EQ(backend.seen[1].connection, 2) << "a connection in doubt is not used again";
+    EXPECT_EQ(backend.seen[1].connection, 2)
+            << "a connection with a stray answer must not be reused";
 }
 
 TEST_F(ExchangeTest, BytesBehindAnAnswerEndTheConnection)
@@ -434,8 +437,8 @@
     }
 }
 
-// A caller closes its connection while an engine works for it. The engine's slot is wanted by
-// others.
+// A caller disconnects while an engine runs its request. The engine's slot has to be released for
+// other requests.
 TEST_F(ExchangeTest, WhenTheCallerLeavesTheServerIsToldAtOnce)
 {
     put(RequestKind::Stream, false);
@@ -470,8 +473,8 @@
     EXPECT_NE(m_body.find(R"("ran":"no")"), std::string::npos);
 }
 
-// The store that holds the keys can't be reached. A key that was taken away meanwhile must not
-// pass, and a caller whose key is good must not hear that it is unknown.
+// The store with the keys is unreachable. A key that was revoked meanwhile must not be accepted,
+// and a valid key must not be reported as unknown.
 TEST_F(ExchangeTest, WithoutProofOfTheKeysAgeNothingPassesAndNothingIsDenied)
 {
     auto &backend = serve(good);
@@ -502,7 +505,7 @@
     connect();
     send("POST /a/ HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\nTransfer-Encoding: "
          "chunked\r\n\r\n0\r\n\r\n");
-    EXPECT_EQ(receive(), 400) << "two lengths would let a second request hide in the body";
+    EXPECT_EQ(receive(), 400) << "two length headers would allow request smuggling";
     m_buffer.clear();
     connect();
     send("POST /a/ HTTP/1.1\r\nHost: h\r\nContent-Length: 99999999\r\n\r\n");
@@ -513,8 +516,8 @@
     EXPECT_EQ(receive(), 431);
 }
 
-// All processes were killed, and clients reach a node that has its configuration and not yet the
-// list of servers. It comes some milliseconds later.
+// After a restart of all processes, a request reaches a node that has its configuration but
+// receives the list of servers only some milliseconds later.
 TEST_F(ExchangeTest, ANodeThatJustStartedWaitsForItsListOfServers)
 {
     connect();
@@ -524,9 +527,9 @@
     EXPECT_EQ(receive(), 200);
 }
 
-// Beside a change of the configuration engines were crowded, and a stream's first event came after
-// nine tenths of a second. The node had broken off by then, although the budget allowed no second
-// send: the caller got half of an answer that the engine was about to give as a whole.
+// Guards against aborting a slow try when the retry budget allows no retry. During a configuration
+// change engines were overloaded and a stream's first event took nine tenths of a second; the node
+// aborted it and the caller received half of an answer that the engine was about to complete.
 TEST_F(ExchangeTest, ASlowServerIsWaitedForIfNoOtherOneMayBeAsked)
 {
     put(RequestKind::Stream, true, std::chrono::seconds(5), milliseconds(20));
@@ -541,8 +544,8 @@
     EXPECT_EQ(slow.seen.size(), 1U);
 }
 
-// A stream broke off and waits to go on at an engine on old weights, whose time runs out meanwhile.
-// It would begin there on weights that no request may begin on any more.
+// An interrupted stream waits for an engine on old weights when these expire. If it is not
+// withdrawn, it begins on weights on which no request may begin any more.
 TEST_F(ExchangeTest, AResumedStreamIsWithdrawnBeforeTheTimeOfOldWeightsIsOver)
 {
     put(RequestKind::Stream, true, std::chrono::seconds(5), std::chrono::seconds(2), 3);
@@ -560,7 +563,7 @@
     }
     m_state.book.setBackends(m_entries);
     const TimePoint now = MonotonicClock::now();
-    constexpr Duration Left = milliseconds(2500); // open to choices, soon to be withdrawn from
+    constexpr Duration Left = milliseconds(2500); // still available, but withdrawn from soon
     const TimePoint namedAt = now + Left - m_state.settings.rates.weightsTime;
     m_state.book.weightsNamed({model, {2, namedAt, namedAt}}, DateGrounds::Read, now);
     m_state.book.loading(EngineId("e3"), now + Left / 2);
@@ -573,7 +576,8 @@
     EXPECT_EQ(old.closedByPeer, 1);
 }
 
-// The first engine crashed and the second one is slow; the route allows no third.
+// The first engine crashes and the second one is slow. The route allows no third one, so the second
+// try must not be aborted.
 TEST_F(ExchangeTest, TheLastServerThatTheRouteAllowsIsWaitedFor)
 {
     put(RequestKind::Safe, false, std::chrono::seconds(5), milliseconds(20));
@@ -582,7 +586,7 @@
         return ScriptedAnswer{answer(seen.fields.at("Id"), "late"), Then::KeepOpen,
                               milliseconds(600)};
     };
-    serve(late); // whichever comes second, the other one is open and must not be asked
+    serve(late); // whichever is chosen second, the other one is available but must not be used
     serve(late);
     EXPECT_EQ(ask("1"), 200);
     EXPECT_EQ(m_body, "late");
--- a/src/vanilladyke/traffic/scripted_backend.hpp
+++ b/src/vanilladyke/traffic/scripted_backend.hpp
@@ -7,27 +7,27 @@
 #include <string>
 #include <vector>
 
-/// A backend server for tests: it answers each request with bytes that the test wrote.
+/// Backend server for tests, which answers each request with bytes that the test supplies.
 namespace vanilladyke {
 
-/// @brief A request as the server read it.
+/// @brief A request as the server received it.
 struct SeenRequest
 {
     std::string target;
     std::map<std::string, std::string> fields;
     std::string body;
-    int connection = 0; ///< counts the server's connections
+    int connection = 0; ///< number of the connection, from 1 in order of acceptance
 };
 
-/// @brief What the server does with a request.
+/// @brief The server's reaction to a request.
 struct ScriptedAnswer
 {
     std::string bytes;
     enum class Then { KeepOpen, Close, Reset, Silence } then = Then::KeepOpen;
-    Duration after{}; ///< the bytes are written so much later
+    Duration after{}; ///< delay before the bytes are written
 };
 
-/// @brief Listens on a free loopback port; lives on the test's context.
+/// @brief Listens on a free loopback port and runs on the test's context.
 class ScriptedBackend
 {
 public:
@@ -37,7 +37,7 @@
 
     [[nodiscard]] Endpoint endpoint() const;
     std::vector<SeenRequest> seen;
-    int closedByPeer = 0; ///< connections that ended while the server kept silent
+    int closedByPeer = 0; ///< connections that the node closed while no answer was sent
 
 private:
     [[nodiscard]] asio::awaitable<void> accept();
@@ -49,7 +49,8 @@
     int m_connections = 0;
 };
 
-/// @brief A dialect with plain names: "Id", "Key", "Prompt", "Stamp", "Refused" and so on.
+/// @brief Dialect for tests with short header names: "Id", "Key", "Model", "Stamp", "Refused" and
+/// so on.
 [[nodiscard]] Dialect plainDialect();
 
 } // namespace vanilladyke
