--- a/include/vanilladyke/traffic/engine_ends.hpp
+++ b/include/vanilladyke/traffic/engine_liveness_probe.hpp
@@ -15,26 +15,26 @@
 namespace vanilladyke {
 
 /// @brief Runs and caches the checks of one node. For use on the traffic thread only.
-class EngineEnds
+class EngineLivenessProbe
 {
 public:
     /// A reachable host in a nearby data centre accepts or refuses a connection sooner.
-    static constexpr Duration Patience = std::chrono::milliseconds(150);
+    static constexpr Duration CheckTimeout = std::chrono::milliseconds(150);
     /// How long a negative result is reused. It is shared by the requests that lost their
     /// connection to the engine at the same moment; later the engine may have ended after all.
-    static constexpr Duration ResultLife = std::chrono::milliseconds(50);
+    static constexpr Duration ResultLifetime = std::chrono::milliseconds(50);
 
-    EngineEnds(asio::io_context &context, BackendPool &pool);
+    EngineLivenessProbe(asio::io_context &context, BackendPool &pool);
 
     /// @brief Checks whether the engine still accepts connections; concurrent calls for one engine
     /// share a check. A connection that is established goes into the pool.
     [[nodiscard]] asio::awaitable<bool> hasEnded(EngineId engine, Endpoint endpoint);
     /// @brief Whether the engine was found to have ended before the request was sent.
-    [[nodiscard]] bool wasKnownEnded(const EngineId &engine, TimePoint sentAt) const;
+    [[nodiscard]] bool hadEndedBefore(const EngineId &engine, TimePoint sentAt) const;
 
 private:
     /// How long the result for an ended engine is kept. A restarted engine has a new id.
-    static constexpr Duration Memory = std::chrono::seconds(30);
+    static constexpr Duration EndedRetention = std::chrono::seconds(30);
 
     struct Check
     {
@@ -42,7 +42,7 @@
             : done(context)
             , at(began)
         {
-            done.expires_after(Patience);
+            done.expires_after(CheckTimeout);
         }
 
         asio::steady_timer done; ///< cancelled when the check completes
@@ -53,7 +53,7 @@
 
     [[nodiscard]] asio::awaitable<void> run(std::shared_ptr<Check> check, EngineId engine,
                                             Endpoint endpoint);
-    void forgetOld(TimePoint now);
+    void removeExpired(TimePoint now);
 
     asio::io_context &m_context;
     BackendPool &m_pool;
--- a/include/vanilladyke/traffic/traffic_state.hpp
+++ b/include/vanilladyke/traffic/traffic_state.hpp
@@ -10,7 +10,7 @@
 #include "vanilladyke/policy/second_send_budget.hpp"
 #include "vanilladyke/traffic/backend_pool.hpp"
 #include "vanilladyke/traffic/dialect.hpp"
-#include "vanilladyke/traffic/engine_ends.hpp"
+#include "vanilladyke/traffic/engine_liveness_probe.hpp"
 #include "vanilladyke/traffic/ticker.hpp"
 
 #include <functional>
@@ -46,7 +46,7 @@
         : context(ioContext)
         , ticker(ioContext)
         , pool(ioContext, ticker)
-        , ends(ioContext, pool)
+        , livenessProbe(ioContext, pool)
         , dialect(std::move(wireDialect))
         , settings(std::move(fixed))
         , book(settings.dataCentre, settings.rates, settings.self)
@@ -69,7 +69,7 @@
     asio::io_context &context;
     Ticker ticker;
     BackendPool pool;
-    EngineEnds ends;
+    EngineLivenessProbe livenessProbe;
     Dialect dialect;
     TrafficSettings settings;
     BackendBook book;
--- a/src/vanilladyke/traffic/engine_ends.cpp
+++ b/src/vanilladyke/traffic/engine_liveness_probe.cpp
@@ -1,20 +1,20 @@
-#include "vanilladyke/traffic/engine_ends.hpp"
+#include "vanilladyke/traffic/engine_liveness_probe.hpp"
 
 #include "vanilladyke/base/log.hpp"
 
 namespace vanilladyke {
 
-EngineEnds::EngineEnds(asio::io_context &context, BackendPool &pool)
+EngineLivenessProbe::EngineLivenessProbe(asio::io_context &context, BackendPool &pool)
     : m_context(context)
     , m_pool(pool)
 {}
 
-asio::awaitable<bool> EngineEnds::hasEnded(EngineId engine, Endpoint endpoint)
+asio::awaitable<bool> EngineLivenessProbe::hasEnded(EngineId engine, Endpoint endpoint)
 {
     const TimePoint now = MonotonicClock::now();
-    forgetOld(now);
+    removeExpired(now);
     std::shared_ptr<Check> &known = m_checks[engine];
-    const bool isFresh = known != nullptr && (known->hasEnded || now - known->at < ResultLife);
+    const bool isFresh = known != nullptr && (known->hasEnded || now - known->at < ResultLifetime);
     if (!isFresh) {
         known = std::make_shared<Check>(m_context, now);
         asio::co_spawn(m_context, run(known, std::move(engine), std::move(endpoint)),
@@ -28,8 +28,8 @@
     co_return check->hasEnded;
 }
 
-asio::awaitable<void> EngineEnds::run(std::shared_ptr<Check> check, EngineId engine,
-                                      Endpoint endpoint)
+asio::awaitable<void> EngineLivenessProbe::run(std::shared_ptr<Check> check, EngineId engine,
+                                               Endpoint endpoint)
 {
     ErrorCode why;
     const BackendConnectionPtr connection =
@@ -47,15 +47,16 @@
             .field("took_ms", MonotonicClock::now() - check->at);
 }
 
-bool EngineEnds::wasKnownEnded(const EngineId &engine, TimePoint sentAt) const
+bool EngineLivenessProbe::hadEndedBefore(const EngineId &engine, TimePoint sentAt) const
 {
     const auto known = m_checks.find(engine);
     return known != m_checks.end() && known->second->hasEnded && known->second->at < sentAt;
 }
 
-void EngineEnds::forgetOld(TimePoint now)
+void EngineLivenessProbe::removeExpired(TimePoint now)
 {
-    std::erase_if(m_checks, [now](const auto &item) { return now - item.second->at > Memory; });
+    std::erase_if(m_checks,
+                  [now](const auto &item) { return now - item.second->at > EndedRetention; });
 }
 
 } // namespace vanilladyke
--- a/src/vanilladyke/traffic/engine_ends_test.cpp
+++ b/src/vanilladyke/traffic/engine_liveness_probe_test.cpp
@@ -1,4 +1,4 @@
-#include "vanilladyke/traffic/engine_ends.hpp"
+#include "vanilladyke/traffic/engine_liveness_probe.hpp"
 
 #include <gtest/gtest.h>
 
@@ -6,7 +6,7 @@
 
 namespace {
 
-class EngineEndsTest : public ::testing::Test
+class EngineLivenessProbeTest : public ::testing::Test
 {
 protected:
     /// Starts @p times checks concurrently. @return how many reported that the engine has ended
@@ -18,7 +18,8 @@
             asio::co_spawn(
                     context,
                     [&]() -> asio::awaitable<void> {
-                        const bool hasEnded = co_await ends.hasEnded(EngineId("e"), endpoint);
+                        const bool hasEnded =
+                                co_await livenessProbe.hasEnded(EngineId("e"), endpoint);
                         ended += hasEnded ? 1 : 0;
                         ++answered;
                     },
@@ -33,19 +34,19 @@
     asio::io_context context;
     Ticker ticker{context};
     BackendPool pool{context, ticker};
-    EngineEnds ends{context, pool};
+    EngineLivenessProbe livenessProbe{context, pool};
 };
 
 // Guards against blaming a request that lost its connection for ending an engine that still runs.
-TEST_F(EngineEndsTest, AnEngineThatListensHasNotEnded)
+TEST_F(EngineLivenessProbeTest, AnEngineThatListensHasNotEnded)
 {
     Tcp::acceptor acceptor(context, Tcp::endpoint(asio::ip::address_v4::loopback(), 0));
     EXPECT_EQ(ask({"127.0.0.1", acceptor.local_endpoint().port()}, 3), 0);
     EXPECT_EQ(pool.opened(), 1U);
-    EXPECT_FALSE(ends.wasKnownEnded(EngineId("e"), MonotonicClock::now()));
+    EXPECT_FALSE(livenessProbe.hadEndedBefore(EngineId("e"), MonotonicClock::now()));
 }
 
-TEST_F(EngineEndsTest, AnAddressWhereNobodyListensHasEnded)
+TEST_F(EngineLivenessProbeTest, AnEngineThatRefusesConnectionsHasEnded)
 {
     std::uint16_t port = 0;
     {
@@ -54,7 +55,7 @@
     }
     EXPECT_EQ(ask({"127.0.0.1", port}, 3), 3);
     EXPECT_EQ(pool.opened(), 1U);
-    EXPECT_TRUE(ends.wasKnownEnded(EngineId("e"), MonotonicClock::now()));
+    EXPECT_TRUE(livenessProbe.hadEndedBefore(EngineId("e"), MonotonicClock::now()));
 }
 
 } // namespace
--- a/src/vanilladyke/traffic/exchange.cpp
+++ b/src/vanilladyke/traffic/exchange.cpp
@@ -401,12 +401,12 @@
     const EngineId &engine = choice.backend.id;
     const bool mayTell = isCutByServer && m_state.settings.quarantines && m_state.digester.isReady()
                          && m_state.book.knows(engine)
-                         && !m_state.ends.wasKnownEnded(engine, sentAt);
+                         && !m_state.livenessProbe.hadEndedBefore(engine, sentAt);
     if (!mayTell) {
         co_return;
     }
     const bool hadJustBegun = !m_firstByteAt || now - *m_firstByteAt < RequestQuarantine::JustBegun;
-    m_engineEnded = co_await m_state.ends.hasEnded(engine, choice.backend.endpoint);
+    m_engineEnded = co_await m_state.livenessProbe.hasEnded(engine, choice.backend.endpoint);
     if (!m_engineEnded) {
         co_return;
     }
