--- a/include/vanilladyke/traffic/backend_pool.hpp
+++ b/include/vanilladyke/traffic/backend_pool.hpp
@@ -27,7 +27,7 @@
     BackendConnection(asio::io_context &context, EngineId engineId)
         : socket(context)
         , engine(std::move(engineId))
-        , timed(std::make_shared<Timed>())
+        , deadlineTimer(std::make_shared<DeadlineTimer>())
     {}
     ~BackendConnection();
 
@@ -36,7 +36,7 @@
     Tcp::socket socket;
     boost::beast::flat_buffer buffer;
     EngineId engine;
-    std::shared_ptr<Timed> timed;
+    std::shared_ptr<DeadlineTimer> deadlineTimer;
     std::string head; ///< head of the request being written
     std::optional<TimePoint> usableUntil;
     bool isOpen = false;
--- a/include/vanilladyke/traffic/caller_session.hpp
+++ b/include/vanilladyke/traffic/caller_session.hpp
@@ -34,7 +34,7 @@
     TrafficState &m_state;
     Tcp::socket m_socket;
     boost::beast::flat_buffer m_buffer;
-    std::shared_ptr<Timed> m_timed;
+    std::shared_ptr<DeadlineTimer> m_deadlineTimer;
     std::shared_ptr<Exchange> m_exchange;
     bool m_keepsOpen = true;
     bool m_isReading = false; ///< a request has been received in part
--- a/include/vanilladyke/traffic/exchange.hpp
+++ b/include/vanilladyke/traffic/exchange.hpp
@@ -148,7 +148,7 @@
     TimePoint m_deadline;
     std::optional<TimePoint> m_patienceEnd;
     TimePoint m_waitUntil; ///< latest time until which to wait for an excluded server
-    std::shared_ptr<Timed> m_timed;
+    std::shared_ptr<DeadlineTimer> m_deadlineTimer;
     BackendConnectionPtr m_connection; ///< of the current try
     asio::steady_timer m_wait;
     ExchangeState m_exchange;
--- a/include/vanilladyke/traffic/ticker.hpp
+++ b/include/vanilladyke/traffic/ticker.hpp
@@ -18,12 +18,12 @@
 namespace vanilladyke {
 
 /// @brief A deadline with a callback. The ticker holds it weakly: destroying it unregisters it.
-class Timed
+class DeadlineTimer
 {
 public:
-    Timed() = default;
-    Timed(const Timed &) = delete;
-    Timed &operator=(const Timed &) = delete;
+    DeadlineTimer() = default;
+    DeadlineTimer(const DeadlineTimer &) = delete;
+    DeadlineTimer &operator=(const DeadlineTimer &) = delete;
 
     std::optional<TimePoint> dueAt;
     std::function<void()> onDue; ///< called once per deadline; may set dueAt again
@@ -37,7 +37,7 @@
 
     explicit Ticker(boost::asio::io_context &context);
 
-    void add(const std::shared_ptr<Timed> &timed) { m_timed.emplace_back(timed); }
+    void add(const std::shared_ptr<DeadlineTimer> &timer) { m_deadlineTimers.emplace_back(timer); }
     void start();
     void stop();
     /// @brief Called once every Step.
@@ -47,7 +47,7 @@
     void step();
 
     boost::asio::steady_timer m_timer;
-    std::list<std::weak_ptr<Timed>> m_timed;
+    std::list<std::weak_ptr<DeadlineTimer>> m_deadlineTimers;
     bool m_stopped = false;
 };
 
--- a/src/vanilladyke/traffic/backend_pool.cpp
+++ b/src/vanilladyke/traffic/backend_pool.cpp
@@ -69,20 +69,20 @@
     if (error) {
         co_return nullptr;
     }
-    m_ticker.add(connection->timed);
+    m_ticker.add(connection->deadlineTimer);
     std::weak_ptr<BackendConnection> weak = connection;
-    connection->timed->onDue = [weak] {
+    connection->deadlineTimer->onDue = [weak] {
         if (const auto due = weak.lock()) {
             due->close();
         }
     };
-    connection->timed->dueAt = MonotonicClock::now() + ConnectTimeout;
+    connection->deadlineTimer->dueAt = MonotonicClock::now() + ConnectTimeout;
     connection->openCountOwner = m_engines[engine].open;
     connection->isOpen = true;
     ++*connection->openCountOwner;
     ++m_opened;
     co_await connection->socket.async_connect(address, into(error));
-    connection->timed->dueAt.reset();
+    connection->deadlineTimer->dueAt.reset();
     if (error || !connection->isOpen) {
         connection->close();
         if (why != nullptr) {
--- a/src/vanilladyke/traffic/caller_session.cpp
+++ b/src/vanilladyke/traffic/caller_session.cpp
@@ -42,13 +42,13 @@
     : m_state(state)
     , m_socket(std::move(socket))
     , m_buffer(MostBuffered)
-    , m_timed(std::make_shared<Timed>())
+    , m_deadlineTimer(std::make_shared<DeadlineTimer>())
 {}
 
 void CallerSession::start()
 {
-    m_state.ticker.add(m_timed);
-    m_timed->onDue = [this] { close(); };
+    m_state.ticker.add(m_deadlineTimer);
+    m_deadlineTimer->onDue = [this] { close(); };
     asio::co_spawn(
             m_state.context,
             [self = shared_from_this()]() -> asio::awaitable<void> { co_await self->run(); },
@@ -83,7 +83,7 @@
         const std::shared_ptr<Exchange> exchange = m_exchange;
         const ExchangeEnd end = co_await exchange->run();
         m_exchange.reset();
-        m_timed->dueAt.reset();
+        m_deadlineTimer->dueAt.reset();
         if (end == ExchangeEnd::Broken) {
             break;
         }
@@ -97,14 +97,14 @@
 {
     const CallerLimits limits =
             m_state.table == nullptr ? CallerLimits() : m_state.table->config().limits;
-    m_timed->dueAt = MonotonicClock::now() + limits.idleTimeout;
+    m_deadlineTimer->dueAt = MonotonicClock::now() + limits.idleTimeout;
     ErrorCode error;
     if (m_buffer.size() == 0) {
         const std::size_t got =
                 co_await m_socket.async_read_some(m_buffer.prepare(ReadBytes), into(error));
         m_buffer.commit(got);
     }
-    m_timed->dueAt = MonotonicClock::now() + limits.headerTimeout;
+    m_deadlineTimer->dueAt = MonotonicClock::now() + limits.headerTimeout;
     co_return !error && m_buffer.size() > 0;
 }
 
@@ -123,7 +123,7 @@
     ErrorCode error;
     co_await http::async_read_header(m_socket, m_buffer, parser, into(error));
     if (!error && !parser.is_done()) {
-        m_timed->dueAt = MonotonicClock::now() + BodyTimeout;
+        m_deadlineTimer->dueAt = MonotonicClock::now() + BodyTimeout;
         if (parser.get()[http::field::expect] == "100-continue") {
             const bool isThere = co_await write("HTTP/1.1 100 Continue\r\n\r\n");
             if (!isThere) {
@@ -132,7 +132,7 @@
         }
         co_await http::async_read(m_socket, m_buffer, parser, into(error));
     }
-    m_timed->dueAt.reset();
+    m_deadlineTimer->dueAt.reset();
     m_isReading = false;
     if (error) {
         const int status = statusFor(error);
@@ -186,10 +186,10 @@
 
 asio::awaitable<bool> CallerSession::write(std::string bytes)
 {
-    m_timed->dueAt = MonotonicClock::now() + WriteTimeout;
+    m_deadlineTimer->dueAt = MonotonicClock::now() + WriteTimeout;
     ErrorCode error;
     co_await asio::async_write(m_socket, asio::buffer(bytes), into(error));
-    m_timed->dueAt.reset();
+    m_deadlineTimer->dueAt.reset();
     co_return !error;
 }
 
--- a/src/vanilladyke/traffic/exchange.cpp
+++ b/src/vanilladyke/traffic/exchange.cpp
@@ -68,7 +68,7 @@
     , m_sink(sink)
     , m_openExchanges(state.openExchanges)
     , m_table(state.table)
-    , m_timed(std::make_shared<Timed>())
+    , m_deadlineTimer(std::make_shared<DeadlineTimer>())
     , m_wait(state.context)
 {
     m_openExchanges->insert(this);
@@ -108,8 +108,8 @@
         co_return co_await refuse(httpStatus(refusal->reason), toString(refusal->reason), after);
     }
     m_state.budget.countRequest(m_service, m_request.arrived);
-    m_state.ticker.add(m_timed);
-    m_timed->onDue = [this] { due(); };
+    m_state.ticker.add(m_deadlineTimer);
+    m_deadlineTimer->onDue = [this] { due(); };
     setPatience(std::nullopt);
     int connectFailures = 0;
     for (;;) {
@@ -661,7 +661,7 @@
         // New weights may be announced while the request waits.
         next = std::min(next, beginBy().value_or(now + WeightsCheck));
     }
-    m_timed->dueAt = next;
+    m_deadlineTimer->dueAt = next;
 }
 
 void Exchange::due()
--- a/src/vanilladyke/traffic/ticker.cpp
+++ b/src/vanilladyke/traffic/ticker.cpp
@@ -26,16 +26,16 @@
 void Ticker::step()
 {
     const TimePoint now = MonotonicClock::now();
-    for (auto each = m_timed.begin(); each != m_timed.end();) {
-        const std::shared_ptr<Timed> timed = each->lock();
-        if (!timed) {
-            each = m_timed.erase(each);
+    for (auto each = m_deadlineTimers.begin(); each != m_deadlineTimers.end();) {
+        const std::shared_ptr<DeadlineTimer> timer = each->lock();
+        if (!timer) {
+            each = m_deadlineTimers.erase(each);
             continue;
         }
         ++each;
-        if (timed->dueAt && *timed->dueAt <= now) {
-            timed->dueAt.reset();
-            timed->onDue();
+        if (timer->dueAt && *timer->dueAt <= now) {
+            timer->dueAt.reset();
+            timer->onDue();
         }
     }
     if (onStep) {
--- a/src/vanilladyke/traffic/traffic_server.cpp
+++ b/src/vanilladyke/traffic/traffic_server.cpp
@@ -115,16 +115,16 @@
 
 asio::awaitable<void> TrafficServer::servePlain(Tcp::socket socket)
 {
-    const auto timed = std::make_shared<Timed>();
-    m_state.ticker.add(timed);
-    timed->onDue = [&socket] {
+    const auto deadlineTimer = std::make_shared<DeadlineTimer>();
+    m_state.ticker.add(deadlineTimer);
+    deadlineTimer->onDue = [&socket] {
         ErrorCode ignored;
         socket.close(ignored);
     };
     boost::beast::flat_buffer buffer;
     bool keepsOpen = true;
     while (keepsOpen) {
-        timed->dueAt = MonotonicClock::now() + PlainTimeout;
+        deadlineTimer->dueAt = MonotonicClock::now() + PlainTimeout;
         http::request<http::empty_body> request;
         ErrorCode error;
         co_await http::async_read(socket, buffer, request, into(error));
