--- a/include/vanilladyke/traffic/backend_pool.hpp
+++ b/include/vanilladyke/traffic/backend_pool.hpp
@@ -43,8 +43,8 @@
     bool isIdle = false;
     bool isWriting = false;
     bool isReused = false;
-    std::uint64_t use = 0; ///< number of times the connection was taken from the pool
-    std::shared_ptr<int> openCountOwner;
+    std::uint64_t useCount = 0; ///< number of times the connection was taken from the pool
+    std::shared_ptr<int> openCount;
 };
 
 using BackendConnectionPtr = std::shared_ptr<BackendConnection>;
@@ -74,33 +74,33 @@
                                                                 ErrorCode *why = nullptr);
     /// @brief Returns a connection to the pool after a complete answer.
     /// @param keepAlive time that the server announced; none if it announced none
-    void giveBack(const BackendConnectionPtr &connection, std::optional<Duration> keepAlive,
-                  TimePoint now);
+    void putBack(const BackendConnectionPtr &connection, std::optional<Duration> keepAlive,
+                 TimePoint now);
     /// @brief Number of open connections to the server, idle or in use.
-    [[nodiscard]] int openTo(const EngineId &engine) const;
+    [[nodiscard]] int openConnections(const EngineId &engine) const;
     /// @brief Number of connection attempts since the start.
-    [[nodiscard]] std::uint64_t opened() const { return m_opened; }
+    [[nodiscard]] std::uint64_t connectionsOpened() const { return m_connectionsOpened; }
     /// @brief Closes idle connections that have expired or whose server is no longer known.
     void tidy(const std::function<bool(const EngineId &)> &isKnown, TimePoint now);
 
 private:
-    struct PerEngine
+    struct EngineConnections
     {
         std::vector<BackendConnectionPtr> idle; ///< least recently used first
         std::shared_ptr<int> open = std::make_shared<int>(0);
     };
 
     /// Closes an idle connection when the server closes it or sends anything on it.
-    void watch(const BackendConnectionPtr &connection);
+    void monitorIdle(const BackendConnectionPtr &connection);
 
     asio::io_context &m_context;
     Ticker &m_ticker;
-    std::unordered_map<EngineId, PerEngine> m_engines;
-    std::uint64_t m_opened = 0;
+    std::unordered_map<EngineId, EngineConnections> m_engines;
+    std::uint64_t m_connectionsOpened = 0;
 };
 
 /// @brief Sets TCP_USER_TIMEOUT: the kernel resets the connection if sent data or a keep-alive
 /// probe stays unacknowledged for @p timeout.
-void setSilenceTimeout(Tcp::socket &socket, Duration timeout);
+void setTcpUserTimeout(Tcp::socket &socket, Duration timeout);
 
 } // namespace vanilladyke
--- a/src/vanilladyke/traffic/backend_pool.cpp
+++ b/src/vanilladyke/traffic/backend_pool.cpp
@@ -8,7 +8,7 @@
 
 namespace vanilladyke {
 
-void setSilenceTimeout(Tcp::socket &socket, Duration timeout)
+void setTcpUserTimeout(Tcp::socket &socket, Duration timeout)
 {
     const auto millis = static_cast<unsigned>(
             std::chrono::duration_cast<std::chrono::milliseconds>(timeout).count());
@@ -26,7 +26,7 @@
 {
     if (isOpen) {
         isOpen = false;
-        --*openCountOwner;
+        --*openCount;
     }
     ErrorCode ignored;
     socket.close(ignored);
@@ -50,7 +50,7 @@
         if (connection->isOpen && connection->usableUntil && now < *connection->usableUntil) {
             connection->isIdle = false;
             connection->isReused = true;
-            ++connection->use;
+            ++connection->useCount;
             ErrorCode ignored;
             connection->socket.cancel(ignored);
             return connection;
@@ -77,10 +77,10 @@
         }
     };
     connection->deadlineTimer->dueAt = MonotonicClock::now() + ConnectTimeout;
-    connection->openCountOwner = m_engines[engine].open;
+    connection->openCount = m_engines[engine].open;
     connection->isOpen = true;
-    ++*connection->openCountOwner;
-    ++m_opened;
+    ++*connection->openCount;
+    ++m_connectionsOpened;
     co_await connection->socket.async_connect(address, into(error));
     connection->deadlineTimer->dueAt.reset();
     if (error || !connection->isOpen) {
@@ -95,8 +95,8 @@
     co_return connection;
 }
 
-void BackendPool::giveBack(const BackendConnectionPtr &connection,
-                           std::optional<Duration> keepAlive, TimePoint now)
+void BackendPool::putBack(const BackendConnectionPtr &connection, std::optional<Duration> keepAlive,
+                          TimePoint now)
 {
     if (!connection->isOpen) {
         return;
@@ -105,22 +105,22 @@
     connection->usableUntil = now + life;
     connection->isIdle = true;
     m_engines[connection->engine].idle.push_back(connection);
-    watch(connection);
+    monitorIdle(connection);
 }
 
-void BackendPool::watch(const BackendConnectionPtr &connection)
+void BackendPool::monitorIdle(const BackendConnectionPtr &connection)
 {
     std::weak_ptr<BackendConnection> weak = connection;
-    connection->socket.async_wait(
-            Tcp::socket::wait_read, [weak, use = connection->use](const ErrorCode &error) {
-                const auto idle = weak.lock();
-                if (idle && !error && idle->isIdle && idle->use == use) {
-                    idle->close(); // closed by the server, or data that belongs to no request
-                }
-            });
+    connection->socket.async_wait(Tcp::socket::wait_read, [weak, useCount = connection->useCount](
+                                                                  const ErrorCode &error) {
+        const auto idle = weak.lock();
+        if (idle && !error && idle->isIdle && idle->useCount == useCount) {
+            idle->close(); // closed by the server, or data that belongs to no request
+        }
+    });
 }
 
-int BackendPool::openTo(const EngineId &engine) const
+int BackendPool::openConnections(const EngineId &engine) const
 {
     const auto found = m_engines.find(engine);
     return found == m_engines.end() ? 0 : *found->second.open;
--- a/src/vanilladyke/traffic/engine_liveness_probe.cpp
+++ b/src/vanilladyke/traffic/engine_liveness_probe.cpp
@@ -38,7 +38,7 @@
     check->hasEnded = connection == nullptr && why == asio::error::connection_refused;
     check->done.cancel();
     if (connection != nullptr) {
-        m_pool.giveBack(connection, std::nullopt, MonotonicClock::now());
+        m_pool.putBack(connection, std::nullopt, MonotonicClock::now());
     }
     LogEvent("engine_checked")
             .field("backend", engine.str())
--- a/src/vanilladyke/traffic/engine_liveness_probe_test.cpp
+++ b/src/vanilladyke/traffic/engine_liveness_probe_test.cpp
@@ -42,7 +42,7 @@
 {
     Tcp::acceptor acceptor(context, Tcp::endpoint(asio::ip::address_v4::loopback(), 0));
     EXPECT_EQ(ask({"127.0.0.1", acceptor.local_endpoint().port()}, 3), 0);
-    EXPECT_EQ(pool.opened(), 1U);
+    EXPECT_EQ(pool.connectionsOpened(), 1U);
     EXPECT_FALSE(livenessProbe.hadEndedBefore(EngineId("e"), MonotonicClock::now()));
 }
 
@@ -54,7 +54,7 @@
         port = acceptor.local_endpoint().port();
     }
     EXPECT_EQ(ask({"127.0.0.1", port}, 3), 3);
-    EXPECT_EQ(pool.opened(), 1U);
+    EXPECT_EQ(pool.connectionsOpened(), 1U);
     EXPECT_TRUE(livenessProbe.hadEndedBefore(EngineId("e"), MonotonicClock::now()));
 }
 
--- a/src/vanilladyke/traffic/exchange.cpp
+++ b/src/vanilladyke/traffic/exchange.cpp
@@ -322,17 +322,17 @@
         co_return TryEnd::Unreached;
     }
     if (m_callerLeft || m_timedOut) {
-        m_state.pool.giveBack(connection, std::nullopt, MonotonicClock::now());
+        m_state.pool.putBack(connection, std::nullopt, MonotonicClock::now());
         co_return TryEnd::Unreached;
     }
     const TimePoint now = MonotonicClock::now();
     if (!m_state.book.hasRoom(choice.backend.id, now)) {
-        m_state.pool.giveBack(connection, std::nullopt, now);
+        m_state.pool.putBack(connection, std::nullopt, now);
         m_state.metrics.count("limit_taken_meanwhile_total");
         co_return TryEnd::Unreached;
     }
     if (m_sends > 0 && !m_hasSecondSend && !m_state.budget.spend(m_service, now)) {
-        m_state.pool.giveBack(connection, std::nullopt, now);
+        m_state.pool.putBack(connection, std::nullopt, now);
         m_budgetSpent = true;
         co_return TryEnd::Lost;
     }
--- a/src/vanilladyke/traffic/exchange_answers.cpp
+++ b/src/vanilladyke/traffic/exchange_answers.cpp
@@ -55,7 +55,7 @@
     const bool isClean = !connection->isWriting && connection->buffer.size() == 0
                          && parser.get().keep_alive() && !head.closes && !parser.get().need_eof();
     if (isClean && connection->isOpen) {
-        m_state.pool.giveBack(connection, head.keepAlive, MonotonicClock::now());
+        m_state.pool.putBack(connection, head.keepAlive, MonotonicClock::now());
     } else {
         connection->close();
     }
