--- a/include/vanilladyke/traffic/caller_session.hpp
+++ b/include/vanilladyke/traffic/caller_session.hpp
@@ -24,7 +24,7 @@
     /// Waits for the first bytes of a request, at most for the idle timeout.
     [[nodiscard]] asio::awaitable<bool> waitForBytes();
     /// Answers with an empty body and closes the connection.
-    [[nodiscard]] asio::awaitable<void> rejectHead(int status);
+    [[nodiscard]] asio::awaitable<void> rejectRequest(int status);
     /// Cancels the current exchange when the caller closes the connection.
     void watchForClose();
     [[nodiscard]] asio::awaitable<bool> write(std::string bytes) override;
--- a/include/vanilladyke/traffic/traffic_server.hpp
+++ b/include/vanilladyke/traffic/traffic_server.hpp
@@ -38,8 +38,8 @@
 private:
     [[nodiscard]] bool open(Tcp::acceptor &acceptor, const Endpoint &endpoint, std::string *error);
     [[nodiscard]] asio::awaitable<void> acceptCallers();
-    [[nodiscard]] asio::awaitable<void> acceptPlain(Tcp::acceptor &acceptor);
-    [[nodiscard]] asio::awaitable<void> servePlain(Tcp::socket socket);
+    [[nodiscard]] asio::awaitable<void> acceptStatusConnections(Tcp::acceptor &acceptor);
+    [[nodiscard]] asio::awaitable<void> serveStatus(Tcp::socket socket);
 
     TrafficState &m_state;
     ListenSettings m_settings;
--- a/src/vanilladyke/traffic/caller_session.cpp
+++ b/src/vanilladyke/traffic/caller_session.cpp
@@ -18,8 +18,8 @@
 constexpr Duration WriteTimeout = std::chrono::seconds(10);
 /// Allows for a body of maximum size over a slow link.
 constexpr Duration BodyTimeout = std::chrono::seconds(10);
-constexpr std::size_t ReadBytes = 4096;
-constexpr std::size_t MostBuffered = 65536;
+constexpr std::size_t ReadSize = 4096;
+constexpr std::size_t MaxBufferedBytes = 65536;
 
 /// HTTP status for a failed read; 0 if the connection broke and nobody can receive an answer.
 int statusFor(const ErrorCode &error)
@@ -41,7 +41,7 @@
 CallerSession::CallerSession(TrafficState &state, Tcp::socket socket)
     : m_state(state)
     , m_socket(std::move(socket))
-    , m_buffer(MostBuffered)
+    , m_buffer(MaxBufferedBytes)
     , m_deadlineTimer(std::make_shared<DeadlineTimer>())
 {}
 
@@ -73,8 +73,8 @@
 {
     while (m_keepsOpen && m_socket.is_open()) {
         CallerRequest request;
-        const bool isThere = co_await readRequest(&request);
-        if (!isThere) {
+        const bool hasRequest = co_await readRequest(&request);
+        if (!hasRequest) {
             break;
         }
         m_keepsOpen = m_keepsOpen && request.keepsConnection && !m_state.isStopping;
@@ -101,7 +101,7 @@
     ErrorCode error;
     if (m_buffer.size() == 0) {
         const std::size_t got =
-                co_await m_socket.async_read_some(m_buffer.prepare(ReadBytes), into(error));
+                co_await m_socket.async_read_some(m_buffer.prepare(ReadSize), into(error));
         m_buffer.commit(got);
     }
     m_deadlineTimer->dueAt = MonotonicClock::now() + limits.headerTimeout;
@@ -125,8 +125,8 @@
     if (!error && !parser.is_done()) {
         m_deadlineTimer->dueAt = MonotonicClock::now() + BodyTimeout;
         if (parser.get()[http::field::expect] == "100-continue") {
-            const bool isThere = co_await write("HTTP/1.1 100 Continue\r\n\r\n");
-            if (!isThere) {
+            const bool isWritten = co_await write("HTTP/1.1 100 Continue\r\n\r\n");
+            if (!isWritten) {
                 co_return false;
             }
         }
@@ -137,14 +137,14 @@
     if (error) {
         const int status = statusFor(error);
         if (status != 0) {
-            co_await rejectHead(status);
+            co_await rejectRequest(status);
         }
         co_return false;
     }
     auto read = m_state.dialect.readCaller(parser.get().base(), MonotonicClock::now());
     if (!read) {
         LogEvent("bad_request", Severity::Warning).field("reason", read.error().reason);
-        co_await rejectHead(400);
+        co_await rejectRequest(400);
         co_return false;
     }
     *request = std::move(*read);
@@ -155,7 +155,7 @@
     co_return true;
 }
 
-asio::awaitable<void> CallerSession::rejectHead(int status)
+asio::awaitable<void> CallerSession::rejectRequest(int status)
 {
     m_keepsOpen = false;
     std::string answer = "HTTP/1.1 " + std::to_string(status) + " "
--- a/src/vanilladyke/traffic/traffic_server.cpp
+++ b/src/vanilladyke/traffic/traffic_server.cpp
@@ -13,9 +13,9 @@
 
 /// Delay after a failed accept: without file descriptors left, retrying at once would spin until
 /// other connections are closed.
-constexpr Duration AcceptPause = std::chrono::milliseconds(50);
-constexpr Duration PlainTimeout = std::chrono::seconds(5);
-constexpr std::size_t AcceptsBetweenSweeps = 256;
+constexpr Duration AcceptRetryDelay = std::chrono::milliseconds(50);
+constexpr Duration StatusTimeout = std::chrono::seconds(5);
+constexpr std::size_t AcceptsBetweenCleanups = 256;
 
 } // namespace
 
@@ -55,9 +55,9 @@
         return error;
     }
     asio::co_spawn(m_state.context, acceptCallers(), asio::detached);
-    asio::co_spawn(m_state.context, acceptPlain(m_ready), asio::detached);
+    asio::co_spawn(m_state.context, acceptStatusConnections(m_ready), asio::detached);
     if (m_settings.metrics) {
-        asio::co_spawn(m_state.context, acceptPlain(m_metrics), asio::detached);
+        asio::co_spawn(m_state.context, acceptStatusConnections(m_metrics), asio::detached);
     }
     return std::nullopt;
 }
@@ -80,7 +80,7 @@
             co_return;
         }
         if (error) {
-            asio::steady_timer pause(m_state.context, AcceptPause);
+            asio::steady_timer pause(m_state.context, AcceptRetryDelay);
             co_await pause.async_wait(into(error));
             continue;
         }
@@ -88,14 +88,14 @@
         socket.set_option(Tcp::no_delay(true), ignored);
         const auto session = std::make_shared<CallerSession>(m_state, std::move(socket));
         m_sessions.emplace_back(session);
-        if (++m_accepted % AcceptsBetweenSweeps == 0) {
+        if (++m_accepted % AcceptsBetweenCleanups == 0) {
             m_sessions.remove_if([](const auto &each) { return each.expired(); });
         }
         session->start();
     }
 }
 
-asio::awaitable<void> TrafficServer::acceptPlain(Tcp::acceptor &acceptor)
+asio::awaitable<void> TrafficServer::acceptStatusConnections(Tcp::acceptor &acceptor)
 {
     for (;;) {
         Tcp::socket socket(m_state.context);
@@ -105,15 +105,15 @@
             co_return;
         }
         if (error) {
-            asio::steady_timer pause(m_state.context, AcceptPause);
+            asio::steady_timer pause(m_state.context, AcceptRetryDelay);
             co_await pause.async_wait(into(error));
             continue;
         }
-        asio::co_spawn(m_state.context, servePlain(std::move(socket)), asio::detached);
+        asio::co_spawn(m_state.context, serveStatus(std::move(socket)), asio::detached);
     }
 }
 
-asio::awaitable<void> TrafficServer::servePlain(Tcp::socket socket)
+asio::awaitable<void> TrafficServer::serveStatus(Tcp::socket socket)
 {
     const auto deadlineTimer = std::make_shared<DeadlineTimer>();
     m_state.ticker.add(deadlineTimer);
@@ -124,7 +124,7 @@
     boost::beast::flat_buffer buffer;
     bool keepsOpen = true;
     while (keepsOpen) {
-        deadlineTimer->dueAt = MonotonicClock::now() + PlainTimeout;
+        deadlineTimer->dueAt = MonotonicClock::now() + StatusTimeout;
         http::request<http::empty_body> request;
         ErrorCode error;
         co_await http::async_read(socket, buffer, request, into(error));
