--- a/include/vanilladyke/traffic/event_splitter.hpp
+++ b/include/vanilladyke/traffic/event_splitter.hpp
@@ -15,7 +15,7 @@
     /// @brief Id of the last complete event that had one; empty if none had.
     [[nodiscard]] const std::string &lastId() const { return m_lastId; }
     /// @brief Whether an incomplete event is buffered.
-    [[nodiscard]] bool isInside() const { return !m_pending.empty(); }
+    [[nodiscard]] bool hasPending() const { return !m_pending.empty(); }
     /// @brief Returns the bytes of the incomplete event and clears the buffer.
     [[nodiscard]] std::string takePending();
 
--- a/src/vanilladyke/traffic/event_splitter.cpp
+++ b/src/vanilladyke/traffic/event_splitter.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// Offset just past the last complete event; 0 if there is none.
-std::size_t endOfEvents(std::string_view text)
+std::size_t endOfCompleteEvents(std::string_view text)
 {
     std::size_t end = 0;
     for (const std::string_view blank : {std::string_view("\n\n"), std::string_view("\r\n\r\n")}) {
@@ -25,7 +25,7 @@
 std::string EventSplitter::feed(std::string_view bytes)
 {
     m_pending.append(bytes);
-    const std::size_t end = endOfEvents(m_pending);
+    const std::size_t end = endOfCompleteEvents(m_pending);
     std::string whole = m_pending.substr(0, end);
     m_pending.erase(0, end);
     readIds(whole);
--- a/src/vanilladyke/traffic/event_splitter_test.cpp
+++ b/src/vanilladyke/traffic/event_splitter_test.cpp
@@ -5,19 +5,19 @@
 namespace vanilladyke {
 namespace {
 
-TEST(EventSplitter, HoldsBackWhatIsNotWhole)
+TEST(EventSplitter, BuffersAnIncompleteEvent)
 {
     EventSplitter events;
     EXPECT_EQ(events.feed("id: 1\nda"), "");
-    EXPECT_TRUE(events.isInside());
+    EXPECT_TRUE(events.hasPending());
     EXPECT_EQ(events.lastId(), "");
     EXPECT_EQ(events.feed("ta: x\n\nid: 2"), "id: 1\ndata: x\n\n");
     EXPECT_EQ(events.lastId(), "1");
     EXPECT_EQ(events.takePending(), "id: 2");
-    EXPECT_FALSE(events.isInside());
+    EXPECT_FALSE(events.hasPending());
 }
 
-TEST(EventSplitter, TakesCarriageReturnsAndSeveralEventsAtOnce)
+TEST(EventSplitter, HandlesCarriageReturnsAndSeveralEventsAtOnce)
 {
     EventSplitter events;
     EXPECT_EQ(events.feed("id: 1\r\ndata: x\r\n\r\nid:2\r\n\r\n"),
--- a/src/vanilladyke/traffic/exchange_answers.cpp
+++ b/src/vanilladyke/traffic/exchange_answers.cpp
@@ -115,7 +115,7 @@
         }
         std::string whole = m_events.feed(bytes);
         const bool isLast = isGood && parser.is_done();
-        if (isLast && m_events.isInside()) {
+        if (isLast && m_events.hasPending()) {
             if (parser.get().need_eof()) {
                 co_return m_headWritten ? TryEnd::Interrupted : TryEnd::Lost;
             }
