--- a/include/vanilladyke/traffic/exchange.hpp
+++ b/include/vanilladyke/traffic/exchange.hpp
@@ -24,7 +24,7 @@
 };
 
 /// @brief Result of an exchange for the caller's connection.
-enum class ExchangeEnd {
+enum class ExchangeResult {
     Answered, ///< a complete answer was written
     Broken,   ///< the answer is incomplete; the connection has to be closed
 };
@@ -38,21 +38,21 @@
     Exchange(const Exchange &) = delete;
     Exchange &operator=(const Exchange &) = delete;
 
-    [[nodiscard]] asio::awaitable<ExchangeEnd> run();
+    [[nodiscard]] asio::awaitable<ExchangeResult> run();
     /// @brief The caller closed its connection; aborts the current try.
-    void callerLeft();
+    void callerDisconnected();
     /// @brief Withdraws a quarantined request from the engines where it waits: aborts every open
     /// exchange with this digest that has not received a first byte.
     static void withdrawHeld(TrafficState &state, const WorkDigest &held);
 
 private:
     /// With less time than this left, no try is started: it could not connect and get an answer.
-    static constexpr Duration LeastTimeForTry = std::chrono::milliseconds(30);
+    static constexpr Duration MinTimeForTry = std::chrono::milliseconds(30);
 
     using AnswerParser = boost::beast::http::response_parser<boost::beast::http::buffer_body>;
 
     /// Result of one try at a backend server.
-    enum class TryEnd {
+    enum class TryResult {
         Delivered,   ///< the complete answer was written to the caller
         NotExecuted, ///< the server states that it did not run the request
         Unreached,   ///< nothing was sent: no connection, or no room at the server any more
@@ -61,7 +61,7 @@
         Interrupted, ///< the answer ended early after a part of it was written to the caller
     };
 
-    [[nodiscard]] static std::string_view nameOf(TryEnd end);
+    [[nodiscard]] static std::string_view nameOf(TryResult end);
 
     /// A 5xx answer, delivered to the caller if no other server gives a better one.
     struct Failure
@@ -77,63 +77,64 @@
     [[nodiscard]] int urgency() const;
     /// When the caller may retry a request that would wait too long at the server; none if the
     /// request may be sent there.
-    [[nodiscard]] std::optional<TimePoint> comesTooLate(const BackendChoice &choice,
-                                                        TimePoint now) const;
+    [[nodiscard]] std::optional<TimePoint> retryTimeIfTooLate(const BackendChoice &choice,
+                                                              TimePoint now) const;
     [[nodiscard]] SendTerms termsFor(const BackendChoice &choice) const;
     /// Waits until a server may be available. @return false if there is no time left for that
     [[nodiscard]] asio::awaitable<bool> waitForBackend(const NoBackend &none);
     [[nodiscard]] asio::awaitable<BackendConnectionPtr> connectionTo(const BackendChoice &choice);
-    [[nodiscard]] asio::awaitable<TryEnd> tryBackend(const BackendChoice &choice);
+    [[nodiscard]] asio::awaitable<TryResult> tryBackend(const BackendChoice &choice);
     /// Checks after a lost connection whether the engine has ended, and if so, counts that against
     /// the request.
-    [[nodiscard]] asio::awaitable<void> noteEnd(const BackendChoice &choice, TryEnd end,
-                                                TimePoint sentAt);
+    [[nodiscard]] asio::awaitable<void> recordEngineEnd(const BackendChoice &choice, TryResult end,
+                                                        TimePoint sentAt);
     [[nodiscard]] std::uint64_t customerHash() const;
     /// End of the request's quarantine; none if it is not quarantined.
     [[nodiscard]] std::optional<TimePoint> heldUntil(TimePoint now) const;
     /// Clears the request of suspicion after a complete answer.
-    void noteWholeAnswer();
+    void recordCompleteAnswer();
     /// Digest that identifies the request's work on all nodes; none until the fleet's key is known.
     [[nodiscard]] std::optional<WorkDigest> digest() const;
     /// Sends the request and handles the answer.
-    [[nodiscard]] asio::awaitable<TryEnd> converse(const BackendChoice &choice,
-                                                   const BackendConnectionPtr &connection);
+    [[nodiscard]] asio::awaitable<TryResult> sendAndReceive(const BackendChoice &choice,
+                                                            const BackendConnectionPtr &connection);
     /// Forwards the events of a stream as they become complete.
-    [[nodiscard]] asio::awaitable<TryEnd> relayEvents(const BackendChoice &choice,
-                                                      const BackendConnectionPtr &connection,
-                                                      AnswerParser &parser, const AnswerHead &head);
+    [[nodiscard]] asio::awaitable<TryResult> relayEvents(const BackendChoice &choice,
+                                                         const BackendConnectionPtr &connection,
+                                                         AnswerParser &parser,
+                                                         const AnswerHead &head);
     [[nodiscard]] asio::awaitable<bool> readSome(BackendConnection &connection,
                                                  AnswerParser &parser, std::string *out);
-    [[nodiscard]] asio::awaitable<bool> readWhole(BackendConnection &connection,
-                                                  AnswerParser &parser, std::string *out);
+    [[nodiscard]] asio::awaitable<bool> readCompleteBody(BackendConnection &connection,
+                                                         AnswerParser &parser, std::string *out);
     void startWriting(const BackendChoice &choice, const BackendConnectionPtr &connection);
     /// Records the load, rate limit and weights that an answer reports.
-    void noteAnswer(const BackendChoice &choice, const AnswerHead &head);
+    void recordAnswerHead(const BackendChoice &choice, const AnswerHead &head);
     /// Returns the connection to the pool if it can be reused; closes it otherwise.
-    void release(const BackendConnectionPtr &connection, const AnswerParser &parser,
-                 const AnswerHead &head);
-    [[nodiscard]] int mostSends() const;
-    [[nodiscard]] bool mayRepeat() const;
-    [[nodiscard]] bool maySendAgain(TryEnd end) const;
+    void releaseConnection(const BackendConnectionPtr &connection, const AnswerParser &parser,
+                           const AnswerHead &head);
+    [[nodiscard]] int maxSends() const;
+    [[nodiscard]] bool isRepeatable() const;
+    [[nodiscard]] bool mayRetry(TryResult end) const;
     /// Writes the final answer when no try delivered one.
-    [[nodiscard]] asio::awaitable<ExchangeEnd> giveUp();
-    [[nodiscard]] asio::awaitable<ExchangeEnd> refuse(int status, std::string_view reason,
-                                                      std::optional<Duration> retryAfter);
+    [[nodiscard]] asio::awaitable<ExchangeResult> finishUnanswered();
+    [[nodiscard]] asio::awaitable<ExchangeResult> refuse(int status, std::string_view reason,
+                                                         std::optional<Duration> retryAfter);
     [[nodiscard]] asio::awaitable<bool> deliver(const AnswerHead &head, const std::string &body);
     /// Sets the time by which the server has to send its next data; none: only the deadline
     /// applies.
-    void setPatience(std::optional<TimePoint> until);
+    void setAnswerDeadline(std::optional<TimePoint> until);
     /// Called when the timer expires: ends the request at its deadline, or aborts a try that has to
     /// be withdrawn or whose server is unresponsive.
-    void due();
+    void onDeadline();
     /// Latest time at which the request may begin on the weights of its server; later it is
     /// withdrawn.
-    [[nodiscard]] std::optional<TimePoint> beginBy() const;
-    void scheduleDue(TimePoint now);
+    [[nodiscard]] std::optional<TimePoint> withdrawalTime() const;
+    void scheduleTimer(TimePoint now);
     /// Reserves a retry for a try at an unresponsive server. The try may be aborted only if this
     /// succeeds: another server is available and the retry budget allows it. Otherwise an answer
     /// that may still arrive would be discarded without a replacement.
-    [[nodiscard]] bool reserveSecondSend(TimePoint now);
+    [[nodiscard]] bool reserveRetry(TimePoint now);
     void abortTry();
     void log(int status, std::string_view outcome);
 
@@ -146,7 +147,7 @@
     const RoutedCustomer *m_customer = nullptr;
     ServiceId m_service;
     TimePoint m_deadline;
-    std::optional<TimePoint> m_patienceEnd;
+    std::optional<TimePoint> m_answerDeadline;
     TimePoint m_waitUntil; ///< latest time until which to wait for an excluded server
     std::shared_ptr<DeadlineTimer> m_deadlineTimer;
     BackendConnectionPtr m_connection; ///< of the current try
@@ -154,24 +155,24 @@
     ExchangeState m_exchange;
     EventSplitter m_events;
     std::optional<Failure> m_failure;
-    std::vector<EngineId> m_tried;
+    std::vector<EngineId> m_triedEngines;
     std::string m_resumeAfter;
     std::optional<TimePoint> m_firstByteAt;
-    NoBackend m_none;
-    std::optional<BackendChoice> m_choice; ///< of the last try
-    std::optional<Duration> m_weightsLeft; ///< at the last try, if newer weights were announced
-    int m_sends = 0;                       ///< tries in which the request was sent
-    int m_runs = 0;                        ///< those of them in which it may have run
+    NoBackend m_noBackend;
+    std::optional<BackendChoice> m_choice;     ///< of the last try
+    std::optional<Duration> m_weightsTimeLeft; ///< at the last try, if newer weights were announced
+    int m_sends = 0;                           ///< tries in which the request was sent
+    int m_runs = 0;                            ///< those of them in which it may have run
     int m_status = 0;
-    bool m_callerLeft = false;
+    bool m_callerDisconnected = false;
     bool m_timedOut = false;
     bool m_stalled = false;
     bool m_isTooLate = false; ///< predicted wait too long at the best server
     bool m_headWritten = false;
     bool m_budgetSpent = false;
-    bool m_hasSecondSend = false; ///< a retry was taken from the budget and not used yet
-    bool m_engineEnded = false;   ///< the engine of the last try was found to have ended
-    bool m_isWithdrawn = false;   ///< quarantined while it waited at an engine
+    bool m_hasReservedRetry = false; ///< a retry was taken from the budget and not used yet
+    bool m_engineEnded = false;      ///< the engine of the last try was found to have ended
+    bool m_isWithdrawn = false;      ///< quarantined while it waited at an engine
 };
 
 } // namespace vanilladyke
--- a/src/vanilladyke/traffic/caller_session.cpp
+++ b/src/vanilladyke/traffic/caller_session.cpp
@@ -81,10 +81,10 @@
         m_exchange = std::make_shared<Exchange>(m_state, std::move(request), *this);
         watchForClose();
         const std::shared_ptr<Exchange> exchange = m_exchange;
-        const ExchangeEnd end = co_await exchange->run();
+        const ExchangeResult end = co_await exchange->run();
         m_exchange.reset();
         m_deadlineTimer->dueAt.reset();
-        if (end == ExchangeEnd::Broken) {
+        if (end == ExchangeResult::Broken) {
             break;
         }
         ErrorCode ignored;
@@ -178,7 +178,7 @@
                             }
                             ErrorCode failed;
                             if (self->m_socket.available(failed) == 0 || failed) {
-                                exchange->callerLeft();
+                                exchange->callerDisconnected();
                                 self->close();
                             }
                         });
--- a/src/vanilladyke/traffic/exchange.cpp
+++ b/src/vanilladyke/traffic/exchange.cpp
@@ -15,35 +15,35 @@
 namespace {
 
 /// Upper bound of an answer's body, in bytes.
-constexpr std::uint64_t LongestAnswer = 256ULL << 20U;
+constexpr std::uint64_t MaxAnswerBytes = 256ULL << 20U;
 /// Number of answers to other requests that are skipped on a connection before it is given up.
-constexpr int MostStrayAnswers = 3;
+constexpr int MaxStrayAnswers = 3;
 /// Includes servers that refuse without running the request: each such try still adds to their
 /// load.
-constexpr int MostSends = 4;
-constexpr int MostConnectFailures = 6;
+constexpr int MaxSends = 4;
+constexpr int MaxConnectFailures = 6;
 /// Longer prompts are less urgent than short ones of the same priority: one of them takes as long
 /// as many short ones.
 constexpr std::uint64_t LongPromptTokens = 2048;
 /// A repeatable request waits this many target latencies for its first byte, then tries another
 /// server.
-constexpr int TargetsToWait = 3;
-constexpr Duration LeastPatience = std::chrono::milliseconds(450);
-/// Limit of tries once a part of a stream was delivered. It is higher than MostSends, because a
+constexpr int FirstByteTimeoutTargets = 3;
+constexpr Duration MinFirstByteTimeout = std::chrono::milliseconds(450);
+/// Limit of tries once a part of a stream was delivered. It is higher than MaxSends, because a
 /// failure then loses what the caller already has.
-constexpr int MostResumes = 12;
-constexpr Duration ResumeTime = std::chrono::milliseconds(900);
+constexpr int MaxStreamSends = 12;
+constexpr Duration ResumeWaitTime = std::chrono::milliseconds(900);
 /// Extension of a try's deadline while received bytes are unread: they are read within a few
 /// iterations of the event loop.
-constexpr Duration UnreadPatience = std::chrono::milliseconds(100);
+constexpr Duration UnreadDataExtension = std::chrono::milliseconds(100);
 /// Covers the time to remove a request from an engine's queue and the delay of weights updates.
 constexpr Duration WithdrawMargin = std::chrono::milliseconds(800);
 /// Interval at which a waiting request is checked for newly announced weights.
-constexpr Duration WeightsCheck = std::chrono::seconds(1);
+constexpr Duration WeightsCheckInterval = std::chrono::seconds(1);
 
 /// Part that determines the preferred engine: the first that ends at or after half of the shared
 /// tokens. Prompts that differ only in later parts then prefer the same engine.
-std::string homePart(const std::vector<PromptPart> &parts, std::uint64_t shared)
+std::string preferredEnginePart(const std::vector<PromptPart> &parts, std::uint64_t shared)
 {
     std::uint64_t reached = 0;
     for (const PromptPart &part : parts) {
@@ -79,26 +79,26 @@
     m_openExchanges->erase(this);
 }
 
-std::string_view Exchange::nameOf(TryEnd end)
+std::string_view Exchange::nameOf(TryResult end)
 {
     switch (end) {
-    case TryEnd::Delivered:
+    case TryResult::Delivered:
         return "delivered";
-    case TryEnd::NotExecuted:
+    case TryResult::NotExecuted:
         return "not_executed";
-    case TryEnd::Unreached:
+    case TryResult::Unreached:
         return "unreached";
-    case TryEnd::Failed:
+    case TryResult::Failed:
         return "failed";
-    case TryEnd::Lost:
+    case TryResult::Lost:
         return "lost";
-    case TryEnd::Interrupted:
+    case TryResult::Interrupted:
         return "interrupted";
     }
     return "unknown";
 }
 
-asio::awaitable<ExchangeEnd> Exchange::run()
+asio::awaitable<ExchangeResult> Exchange::run()
 {
     if (const std::optional<Refusal> refusal = admit()) {
         std::optional<Duration> after;
@@ -109,12 +109,12 @@
     }
     m_state.budget.countRequest(m_service, m_request.arrived);
     m_state.ticker.add(m_deadlineTimer);
-    m_deadlineTimer->onDue = [this] { due(); };
-    setPatience(std::nullopt);
+    m_deadlineTimer->onDue = [this] { onDeadline(); };
+    setAnswerDeadline(std::nullopt);
     int connectFailures = 0;
     for (;;) {
         const TimePoint now = MonotonicClock::now();
-        if (m_callerLeft || m_timedOut || m_deadline - now < LeastTimeForTry) {
+        if (m_callerDisconnected || m_timedOut || m_deadline - now < MinTimeForTry) {
             break;
         }
         if (heldUntil(now)) {
@@ -122,40 +122,40 @@
         }
         const auto choice = m_state.book.choose(query(), now);
         if (!choice) {
-            m_none = choice.error();
-            const bool mayOpen = co_await waitForBackend(choice.error());
-            if (!mayOpen) {
+            m_noBackend = choice.error();
+            const bool mayBecomeAvailable = co_await waitForBackend(choice.error());
+            if (!mayBecomeAvailable) {
                 break;
             }
             continue;
         }
         m_choice = *choice;
-        if (const auto until = comesTooLate(*choice, now)) {
-            m_none = {true, *until};
+        if (const auto until = retryTimeIfTooLate(*choice, now)) {
+            m_noBackend = {true, *until};
             m_isTooLate = true;
             break;
         }
-        const TryEnd end = co_await tryBackend(*choice);
-        if (end == TryEnd::Delivered) {
+        const TryResult end = co_await tryBackend(*choice);
+        if (end == TryResult::Delivered) {
             log(m_status, "answered");
-            co_return ExchangeEnd::Answered;
+            co_return ExchangeResult::Answered;
         }
-        m_tried.push_back(choice->backend.id);
-        if (end == TryEnd::Unreached) {
-            if (++connectFailures >= MostConnectFailures) {
+        m_triedEngines.push_back(choice->backend.id);
+        if (end == TryResult::Unreached) {
+            if (++connectFailures >= MaxConnectFailures) {
                 break;
             }
             continue;
         }
-        if (m_callerLeft || m_timedOut || !maySendAgain(end)) {
+        if (m_callerDisconnected || m_timedOut || !mayRetry(end)) {
             break;
         }
-        if (end == TryEnd::Interrupted) {
+        if (end == TryResult::Interrupted) {
             m_resumeAfter = m_events.lastId();
-            m_waitUntil = MonotonicClock::now() + ResumeTime;
+            m_waitUntil = MonotonicClock::now() + ResumeWaitTime;
         }
     }
-    co_return co_await giveUp();
+    co_return co_await finishUnanswered();
 }
 
 std::optional<Refusal> Exchange::admit()
@@ -208,7 +208,7 @@
     result.leastHomeTokens = m_state.book.leastHomeTokens(m_service);
     result.target = m_route->targetLatency;
     result.urgency = urgency();
-    result.exclude = m_tried;
+    result.exclude = m_triedEngines;
     const bool hasStore = m_state.settings.rates.usesKeptStore && m_state.kept.stores() > 0;
     result.kept = hasStore ? &m_state.kept : nullptr;
     if (const ServiceSpec *service = m_table->service(m_service)) {
@@ -221,7 +221,7 @@
             shared += m_request.parts[i].tokens;
         }
         if (m_state.settings.rates.homesByBeginning) {
-            result.homePart = homePart(m_request.parts, shared);
+            result.homePart = preferredEnginePart(m_request.parts, shared);
         }
         result.sharedPart = m_request.parts[m_request.parts.size() - 2].id;
         if (m_customer != nullptr && m_customer->isIsolated) {
@@ -243,7 +243,8 @@
     return std::clamp(1 + 2 * rank + (isLong ? 1 : 0), 0, WaitingWork::Urgencies - 1);
 }
 
-std::optional<TimePoint> Exchange::comesTooLate(const BackendChoice &choice, TimePoint now) const
+std::optional<TimePoint> Exchange::retryTimeIfTooLate(const BackendChoice &choice,
+                                                      TimePoint now) const
 {
     if (m_request.model.empty() || m_headWritten || m_sends > 0) {
         return std::nullopt;
@@ -285,16 +286,16 @@
 asio::awaitable<bool> Exchange::waitForBackend(const NoBackend &none)
 {
     const TimePoint now = MonotonicClock::now();
-    const TimePoint latest = std::min(m_waitUntil, m_deadline - LeastTimeForTry);
-    const bool triedAll = !m_tried.empty() && m_none.retryAt > latest;
+    const TimePoint latest = std::min(m_waitUntil, m_deadline - MinTimeForTry);
+    const bool triedAll = !m_triedEngines.empty() && m_noBackend.retryAt > latest;
     if (triedAll || none.retryAt > latest || now >= latest) {
-        if (none.isKnown && !m_tried.empty() && now < latest) {
-            m_tried.clear(); // a server that refused before may have room by now
+        if (none.isKnown && !m_triedEngines.empty() && now < latest) {
+            m_triedEngines.clear(); // a server that refused before may have room by now
             constexpr Duration Pause = std::chrono::milliseconds(20);
             m_wait.expires_after(Pause);
             ErrorCode ignored;
             co_await m_wait.async_wait(into(ignored));
-            co_return m_sends < mostSends();
+            co_return m_sends < maxSends();
         }
         co_return false;
     }
@@ -313,30 +314,30 @@
     co_return co_await m_state.pool.connect(choice.backend.id, choice.backend.endpoint);
 }
 
-asio::awaitable<Exchange::TryEnd> Exchange::tryBackend(const BackendChoice &choice)
+asio::awaitable<Exchange::TryResult> Exchange::tryBackend(const BackendChoice &choice)
 {
     const BackendConnectionPtr connection = co_await connectionTo(choice);
     if (connection == nullptr) {
         m_state.book.close(choice.backend.id, MonotonicClock::now());
         m_state.metrics.count("backend_unreached_total");
-        co_return TryEnd::Unreached;
+        co_return TryResult::Unreached;
     }
-    if (m_callerLeft || m_timedOut) {
+    if (m_callerDisconnected || m_timedOut) {
         m_state.pool.putBack(connection, std::nullopt, MonotonicClock::now());
-        co_return TryEnd::Unreached;
+        co_return TryResult::Unreached;
     }
     const TimePoint now = MonotonicClock::now();
     if (!m_state.book.hasRoom(choice.backend.id, now)) {
         m_state.pool.putBack(connection, std::nullopt, now);
         m_state.metrics.count("limit_taken_meanwhile_total");
-        co_return TryEnd::Unreached;
+        co_return TryResult::Unreached;
     }
-    if (m_sends > 0 && !m_hasSecondSend && !m_state.budget.spend(m_service, now)) {
+    if (m_sends > 0 && !m_hasReservedRetry && !m_state.budget.spend(m_service, now)) {
         m_state.pool.putBack(connection, std::nullopt, now);
         m_budgetSpent = true;
-        co_return TryEnd::Lost;
+        co_return TryResult::Lost;
     }
-    m_hasSecondSend = false;
+    m_hasReservedRetry = false;
     ++m_sends;
     ++m_runs;
     m_stalled = false;
@@ -344,7 +345,7 @@
     m_connection = connection;
     const BackendQuery asked = query();
     const auto weightsEnd = m_state.book.weightsEnd(choice.backend.id, m_request.model);
-    m_weightsLeft = weightsEnd ? std::optional(*weightsEnd - now) : std::nullopt;
+    m_weightsTimeLeft = weightsEnd ? std::optional(*weightsEnd - now) : std::nullopt;
     m_state.book.sent(choice, asked, now);
     if (m_state.book.limitOf(choice.backend.id)) {
         m_state.metrics.count("requests_to_limited_engines_total");
@@ -354,27 +355,27 @@
         const std::string salt = cacheSalt(asked.model, choice.weights, asked.isolated);
         m_state.kept.toldSaved(KeptCacheView::keyOf(salt, asked.sharedPart), now);
     }
-    const TryEnd end = co_await converse(choice, connection);
+    const TryResult end = co_await sendAndReceive(choice, connection);
     m_connection.reset();
     const bool begun = m_firstByteAt.has_value();
-    const bool failed = end == TryEnd::Failed
-                        || ((end == TryEnd::Lost || end == TryEnd::Interrupted) && !m_callerLeft
-                            && !m_isWithdrawn);
+    const bool failed = end == TryResult::Failed
+                        || ((end == TryResult::Lost || end == TryResult::Interrupted)
+                            && !m_callerDisconnected && !m_isWithdrawn);
     m_state.book.ended(choice, begun, failed, MonotonicClock::now());
-    if (end == TryEnd::Delivered || end == TryEnd::Failed) {
-        noteWholeAnswer();
+    if (end == TryResult::Delivered || end == TryResult::Failed) {
+        recordCompleteAnswer();
     }
-    if (end == TryEnd::NotExecuted) {
+    if (end == TryResult::NotExecuted) {
         --m_runs;
         m_exchange.apply(ExchangeEvent::RefusalReceived);
-    } else if (end == TryEnd::Lost) {
+    } else if (end == TryResult::Lost) {
         m_exchange.apply(ExchangeEvent::ConnectionLost);
     }
-    if (end == TryEnd::Lost && m_stalled) {
+    if (end == TryResult::Lost && m_stalled) {
         m_state.book.close(choice.backend.id, MonotonicClock::now());
     }
-    co_await noteEnd(choice, end, now);
-    if (end != TryEnd::Delivered) {
+    co_await recordEngineEnd(choice, end, now);
+    if (end != TryResult::Delivered) {
         connection->close();
         LogEvent("try_failed", Severity::Info)
                 .field("id", m_request.id)
@@ -385,24 +386,26 @@
                 .field("sends", m_sends)
                 .field("stalled", m_stalled)
                 .field("timed_out", m_timedOut)
-                .field("caller_left", m_callerLeft)
+                .field("caller_left", m_callerDisconnected)
                 .field("engine_ended", m_engineEnded)
                 .field("digest", m_engineEnded ? digest()->str() : "none");
     }
     co_return end;
 }
 
-asio::awaitable<void> Exchange::noteEnd(const BackendChoice &choice, TryEnd end, TimePoint sentAt)
+asio::awaitable<void> Exchange::recordEngineEnd(const BackendChoice &choice, TryResult end,
+                                                TimePoint sentAt)
 {
     m_engineEnded = false;
     const TimePoint now = MonotonicClock::now();
-    const bool isCutByServer = (end == TryEnd::Lost || end == TryEnd::Interrupted) && !m_callerLeft
-                               && !m_timedOut && !m_stalled && !m_isWithdrawn;
+    const bool isCutByServer = (end == TryResult::Lost || end == TryResult::Interrupted)
+                               && !m_callerDisconnected && !m_timedOut && !m_stalled
+                               && !m_isWithdrawn;
     const EngineId &engine = choice.backend.id;
-    const bool mayTell = isCutByServer && m_state.settings.quarantines && m_state.digester.isReady()
-                         && m_state.book.knows(engine)
-                         && !m_state.livenessProbe.hadEndedBefore(engine, sentAt);
-    if (!mayTell) {
+    const bool shouldCheck = isCutByServer && m_state.settings.quarantines
+                             && m_state.digester.isReady() && m_state.book.knows(engine)
+                             && !m_state.livenessProbe.hadEndedBefore(engine, sentAt);
+    if (!shouldCheck) {
         co_return;
     }
     const bool hadJustBegun = !m_firstByteAt || now - *m_firstByteAt < RequestQuarantine::JustBegun;
@@ -446,12 +449,12 @@
 
 std::optional<TimePoint> Exchange::heldUntil(TimePoint now) const
 {
-    const bool mayBeHeld = m_state.settings.quarantines && m_state.digester.isReady()
-                           && m_state.quarantine.concerns(customerHash());
-    return mayBeHeld ? m_state.quarantine.heldUntil(*digest(), now) : std::nullopt;
+    const bool mayBeQuarantined = m_state.settings.quarantines && m_state.digester.isReady()
+                                  && m_state.quarantine.concerns(customerHash());
+    return mayBeQuarantined ? m_state.quarantine.heldUntil(*digest(), now) : std::nullopt;
 }
 
-void Exchange::noteWholeAnswer()
+void Exchange::recordCompleteAnswer()
 {
     const bool mayBeSuspected =
             m_state.digester.isReady() && m_state.quarantine.concerns(customerHash());
@@ -496,26 +499,27 @@
                       });
 }
 
-asio::awaitable<Exchange::TryEnd> Exchange::converse(const BackendChoice &choice,
-                                                     const BackendConnectionPtr &connection)
+asio::awaitable<Exchange::TryResult>
+Exchange::sendAndReceive(const BackendChoice &choice, const BackendConnectionPtr &connection)
 {
     startWriting(choice, connection);
-    std::optional<TimePoint> patience;
-    if (mayRepeat() && !m_headWritten) {
-        patience = MonotonicClock::now()
-                   + std::max<Duration>(m_route->targetLatency * TargetsToWait, LeastPatience);
+    std::optional<TimePoint> firstByteDeadline;
+    if (isRepeatable() && !m_headWritten) {
+        firstByteDeadline = MonotonicClock::now()
+                            + std::max<Duration>(m_route->targetLatency * FirstByteTimeoutTargets,
+                                                 MinFirstByteTimeout);
     }
-    setPatience(patience);
+    setAnswerDeadline(firstByteDeadline);
     bool sawStray = false;
-    for (int answers = 0; answers <= MostStrayAnswers; ++answers) {
+    for (int answers = 0; answers <= MaxStrayAnswers; ++answers) {
         AnswerParser parser;
-        parser.body_limit(LongestAnswer);
+        parser.body_limit(MaxAnswerBytes);
         parser.skip(m_request.method == "HEAD");
         ErrorCode error;
         co_await http::async_read_header(connection->socket, connection->buffer, parser,
                                          into(error));
         if (error) {
-            co_return TryEnd::Lost;
+            co_return TryResult::Lost;
         }
         const AnswerHead head = m_state.dialect.readAnswer(
                 static_cast<int>(parser.get().result_int()), parser.get().base());
@@ -528,57 +532,57 @@
             // follow.
             sawStray = true;
             std::string ignored;
-            const bool isWhole = co_await readWhole(*connection, parser, &ignored);
+            const bool isWhole = co_await readCompleteBody(*connection, parser, &ignored);
             if (!isWhole || parser.get().need_eof()) {
-                co_return TryEnd::Lost;
+                co_return TryResult::Lost;
             }
             continue;
         }
-        noteAnswer(choice, head);
+        recordAnswerHead(choice, head);
         if (head.isNotExecuted || head.status == 421) {
             std::string ignored;
-            const bool isWhole = co_await readWhole(*connection, parser, &ignored);
+            const bool isWhole = co_await readCompleteBody(*connection, parser, &ignored);
             if (isWhole && !sawStray) {
-                release(connection, parser, head);
+                releaseConnection(connection, parser, head);
             }
-            co_return TryEnd::NotExecuted;
+            co_return TryResult::NotExecuted;
         }
         if (head.isEncoded || head.requestId.empty()
             || (isSuccess(head.status) && !head.isStamped)) {
-            co_return TryEnd::Lost;
+            co_return TryResult::Lost;
         }
         if (isSuccess(head.status) && m_route->kind == RequestKind::Stream) {
-            const TryEnd end = co_await relayEvents(choice, connection, parser, head);
-            if (end == TryEnd::Delivered && !sawStray) {
-                release(connection, parser, head);
+            const TryResult end = co_await relayEvents(choice, connection, parser, head);
+            if (end == TryResult::Delivered && !sawStray) {
+                releaseConnection(connection, parser, head);
             }
             co_return end;
         }
         if (m_headWritten) {
-            co_return TryEnd::Lost; // a started stream can only be continued by a stream
+            co_return TryResult::Lost; // a started stream can only be continued by a stream
         }
         std::string body;
-        const bool isWhole = co_await readWhole(*connection, parser, &body);
+        const bool isWhole = co_await readCompleteBody(*connection, parser, &body);
         if (!isWhole) {
-            co_return TryEnd::Lost;
+            co_return TryResult::Lost;
         }
         m_firstByteAt = MonotonicClock::now();
         m_state.book.began(choice, *m_firstByteAt);
         m_exchange.apply(ExchangeEvent::AnswerReceived);
         if (!sawStray) {
-            release(connection, parser, head);
+            releaseConnection(connection, parser, head);
         }
         if (head.status >= 500) {
             m_failure = Failure{head, std::move(body)};
-            co_return TryEnd::Failed;
+            co_return TryResult::Failed;
         }
         const bool delivered = co_await deliver(head, body);
-        co_return delivered ? TryEnd::Delivered : TryEnd::Interrupted;
+        co_return delivered ? TryResult::Delivered : TryResult::Interrupted;
     }
-    co_return TryEnd::Lost;
+    co_return TryResult::Lost;
 }
 
-void Exchange::noteAnswer(const BackendChoice &choice, const AnswerHead &head)
+void Exchange::recordAnswerHead(const BackendChoice &choice, const AnswerHead &head)
 {
     const TimePoint now = MonotonicClock::now();
     const EngineId &id = choice.backend.id;
@@ -611,40 +615,40 @@
     }
 }
 
-int Exchange::mostSends() const
+int Exchange::maxSends() const
 {
-    return m_headWritten ? MostResumes : MostSends;
+    return m_headWritten ? MaxStreamSends : MaxSends;
 }
 
-bool Exchange::mayRepeat() const
+bool Exchange::isRepeatable() const
 {
     return m_route->kind == RequestKind::Safe
            || (m_route->kind == RequestKind::Stream && m_route->isResumable);
 }
 
-bool Exchange::maySendAgain(TryEnd end) const
+bool Exchange::mayRetry(TryResult end) const
 {
-    if (m_budgetSpent || m_sends >= mostSends()) {
+    if (m_budgetSpent || m_sends >= maxSends()) {
         return false;
     }
-    if (end == TryEnd::NotExecuted) {
+    if (end == TryResult::NotExecuted) {
         return true;
     }
-    const bool isResume = end == TryEnd::Interrupted;
+    const bool isResume = end == TryResult::Interrupted;
     if (isResume && (m_events.lastId().empty() || !m_state.settings.resumes)) {
         return false;
     }
-    return (isResume || m_state.settings.sendsAgain) && mayRepeat()
+    return (isResume || m_state.settings.sendsAgain) && isRepeatable()
            && m_runs < m_route->mostBackends;
 }
 
-void Exchange::setPatience(std::optional<TimePoint> until)
+void Exchange::setAnswerDeadline(std::optional<TimePoint> until)
 {
-    m_patienceEnd = until;
-    scheduleDue(MonotonicClock::now());
+    m_answerDeadline = until;
+    scheduleTimer(MonotonicClock::now());
 }
 
-std::optional<TimePoint> Exchange::beginBy() const
+std::optional<TimePoint> Exchange::withdrawalTime() const
 {
     const bool waits = m_connection != nullptr && !m_firstByteAt && m_choice;
     if (!waits || !m_state.settings.withdraws) {
@@ -654,17 +658,17 @@
     return end ? std::optional(*end - WithdrawMargin) : std::nullopt;
 }
 
-void Exchange::scheduleDue(TimePoint now)
+void Exchange::scheduleTimer(TimePoint now)
 {
-    TimePoint next = m_patienceEnd ? std::min(*m_patienceEnd, m_deadline) : m_deadline;
+    TimePoint next = m_answerDeadline ? std::min(*m_answerDeadline, m_deadline) : m_deadline;
     if (!m_request.model.empty()) {
         // New weights may be announced while the request waits.
-        next = std::min(next, beginBy().value_or(now + WeightsCheck));
+        next = std::min(next, withdrawalTime().value_or(now + WeightsCheckInterval));
     }
     m_deadlineTimer->dueAt = next;
 }
 
-void Exchange::due()
+void Exchange::onDeadline()
 {
     const TimePoint now = MonotonicClock::now();
     if (now >= m_deadline) {
@@ -675,11 +679,12 @@
     ErrorCode ignored;
     if (m_connection != nullptr && m_connection->socket.available(ignored) > 0) {
         // Data has arrived and this node has not read it yet, so the server is not unresponsive.
-        m_patienceEnd = m_patienceEnd ? std::optional(now + UnreadPatience) : std::nullopt;
-        scheduleDue(now);
+        m_answerDeadline =
+                m_answerDeadline ? std::optional(now + UnreadDataExtension) : std::nullopt;
+        scheduleTimer(now);
         return;
     }
-    const std::optional<TimePoint> begins = beginBy();
+    const std::optional<TimePoint> begins = withdrawalTime();
     if (begins && now >= *begins) {
         // Withdraw the request: it would begin on expired weights, and another server has newer
         // ones.
@@ -688,21 +693,21 @@
         abortTry();
         return;
     }
-    if (m_patienceEnd && now >= *m_patienceEnd) {
-        m_patienceEnd.reset();
-        if (reserveSecondSend(now)) {
+    if (m_answerDeadline && now >= *m_answerDeadline) {
+        m_answerDeadline.reset();
+        if (reserveRetry(now)) {
             m_stalled = true;
             abortTry();
             return;
         }
     }
-    scheduleDue(now);
+    scheduleTimer(now);
 }
 
-bool Exchange::reserveSecondSend(TimePoint now)
+bool Exchange::reserveRetry(TimePoint now)
 {
     const bool isAllowed = m_headWritten ? m_state.settings.resumes : m_state.settings.sendsAgain;
-    if (!isAllowed || m_sends >= mostSends() || m_runs >= m_route->mostBackends) {
+    if (!isAllowed || m_sends >= maxSends() || m_runs >= m_route->mostBackends) {
         return false;
     }
     BackendQuery elsewhere = query();
@@ -712,8 +717,8 @@
     if (!m_state.book.choose(elsewhere, now)) {
         return false;
     }
-    m_hasSecondSend = m_hasSecondSend || m_state.budget.spend(m_service, now);
-    return m_hasSecondSend;
+    m_hasReservedRetry = m_hasReservedRetry || m_state.budget.spend(m_service, now);
+    return m_hasReservedRetry;
 }
 
 void Exchange::abortTry()
@@ -724,9 +729,9 @@
     }
 }
 
-void Exchange::callerLeft()
+void Exchange::callerDisconnected()
 {
-    m_callerLeft = true;
+    m_callerDisconnected = true;
     abortTry();
 }
 
--- a/src/vanilladyke/traffic/exchange_answers.cpp
+++ b/src/vanilladyke/traffic/exchange_answers.cpp
@@ -15,14 +15,14 @@
 
 namespace {
 
-constexpr std::size_t PieceBytes = 16384;
-constexpr std::size_t LongestHeldAnswer = 8U << 20U;
+constexpr std::size_t ReadBufferBytes = 16384;
+constexpr std::size_t MaxBufferedAnswerBytes = 8U << 20U;
 /// A repeatable stream that pauses for this many times the route's longest regular pause is resumed
 /// on another server.
-constexpr int PausesToWait = 3;
+constexpr int StreamTimeoutPauses = 3;
 /// Lower bound of that pause: an overloaded engine may pause a stream for one second, and callers
 /// time out after two seconds or more.
-constexpr Duration LeastSilence = std::chrono::milliseconds(1500);
+constexpr Duration MinStreamTimeout = std::chrono::milliseconds(1500);
 
 /// Encodes @p data as one chunk of the chunked transfer coding.
 std::string chunk(const std::string &data)
@@ -49,8 +49,8 @@
 
 } // namespace
 
-void Exchange::release(const BackendConnectionPtr &connection, const AnswerParser &parser,
-                       const AnswerHead &head)
+void Exchange::releaseConnection(const BackendConnectionPtr &connection, const AnswerParser &parser,
+                                 const AnswerHead &head)
 {
     const bool isClean = !connection->isWriting && connection->buffer.size() == 0
                          && parser.get().keep_alive() && !head.closes && !parser.get().need_eof();
@@ -64,7 +64,7 @@
 asio::awaitable<bool> Exchange::readSome(BackendConnection &connection, AnswerParser &parser,
                                          std::string *out)
 {
-    std::array<char, PieceBytes> piece; // NOLINT: filled by the parser
+    std::array<char, ReadBufferBytes> piece; // NOLINT: filled by the parser
     auto &body = parser.get().body();
     body.data = piece.data();
     body.size = piece.size();
@@ -78,46 +78,47 @@
     co_return !error;
 }
 
-asio::awaitable<bool> Exchange::readWhole(BackendConnection &connection, AnswerParser &parser,
-                                          std::string *out)
+asio::awaitable<bool> Exchange::readCompleteBody(BackendConnection &connection,
+                                                 AnswerParser &parser, std::string *out)
 {
     while (!parser.is_done()) {
-        const bool isGood = co_await readSome(connection, parser, out);
-        if (!isGood || out->size() > LongestHeldAnswer) {
+        const bool hasRead = co_await readSome(connection, parser, out);
+        if (!hasRead || out->size() > MaxBufferedAnswerBytes) {
             co_return false;
         }
     }
     co_return true;
 }
 
-asio::awaitable<Exchange::TryEnd> Exchange::relayEvents(const BackendChoice &choice,
-                                                        const BackendConnectionPtr &connection,
-                                                        AnswerParser &parser,
-                                                        const AnswerHead &head)
+asio::awaitable<Exchange::TryResult> Exchange::relayEvents(const BackendChoice &choice,
+                                                           const BackendConnectionPtr &connection,
+                                                           AnswerParser &parser,
+                                                           const AnswerHead &head)
 {
     static_cast<void>(m_events.takePending());
-    const Duration silence = std::max<Duration>(m_route->longestPause * PausesToWait, LeastSilence);
+    const Duration streamTimeout =
+            std::max<Duration>(m_route->longestPause * StreamTimeoutPauses, MinStreamTimeout);
     while (!parser.is_done()) {
         std::string bytes;
-        const bool isGood = co_await readSome(*connection, parser, &bytes);
+        const bool hasRead = co_await readSome(*connection, parser, &bytes);
         if (m_stalled && !m_headWritten) {
-            co_return TryEnd::Lost; // aborted during the read; the connection is closed
+            co_return TryResult::Lost; // aborted during the read; the connection is closed
         }
         if (!bytes.empty() && !m_firstByteAt) {
             m_firstByteAt = MonotonicClock::now();
             m_state.book.began(choice, *m_firstByteAt);
             m_exchange.apply(ExchangeEvent::AnswerReceived);
         }
-        if (!bytes.empty() && mayRepeat()) {
+        if (!bytes.empty() && isRepeatable()) {
             // Set before the event is forwarded. Otherwise the deadline for the first event could
             // expire during the write and abort a stream that is on time.
-            setPatience(MonotonicClock::now() + silence);
+            setAnswerDeadline(MonotonicClock::now() + streamTimeout);
         }
         std::string whole = m_events.feed(bytes);
-        const bool isLast = isGood && parser.is_done();
+        const bool isLast = hasRead && parser.is_done();
         if (isLast && m_events.hasPending()) {
             if (parser.get().need_eof()) {
-                co_return m_headWritten ? TryEnd::Interrupted : TryEnd::Lost;
+                co_return m_headWritten ? TryResult::Interrupted : TryResult::Lost;
             }
             whole += m_events.takePending();
         }
@@ -134,17 +135,17 @@
             if (isLast) {
                 out += "0\r\n\r\n";
             }
-            const bool isThere = co_await m_sink.write(std::move(out));
-            if (!isThere) {
-                m_callerLeft = true;
-                co_return TryEnd::Interrupted;
+            const bool isWritten = co_await m_sink.write(std::move(out));
+            if (!isWritten) {
+                m_callerDisconnected = true;
+                co_return TryResult::Interrupted;
             }
         }
-        if (!isGood) {
-            co_return m_headWritten ? TryEnd::Interrupted : TryEnd::Lost;
+        if (!hasRead) {
+            co_return m_headWritten ? TryResult::Interrupted : TryResult::Lost;
         }
     }
-    co_return TryEnd::Delivered;
+    co_return TryResult::Delivered;
 }
 
 asio::awaitable<bool> Exchange::deliver(const AnswerHead &head, const std::string &body)
@@ -164,20 +165,20 @@
     co_return co_await m_sink.write(std::move(out));
 }
 
-asio::awaitable<ExchangeEnd> Exchange::giveUp()
+asio::awaitable<ExchangeResult> Exchange::finishUnanswered()
 {
-    if (m_callerLeft) {
+    if (m_callerDisconnected) {
         log(0, "caller_left");
-        co_return ExchangeEnd::Broken;
+        co_return ExchangeResult::Broken;
     }
     if (m_headWritten) {
         log(m_status, "stream_broken");
-        co_return ExchangeEnd::Broken;
+        co_return ExchangeResult::Broken;
     }
     if (m_failure) {
         const bool delivered = co_await deliver(m_failure->head, m_failure->body);
         log(m_status, "backend_failed");
-        co_return delivered ? ExchangeEnd::Answered : ExchangeEnd::Broken;
+        co_return delivered ? ExchangeResult::Answered : ExchangeResult::Broken;
     }
     const TimePoint now = MonotonicClock::now();
     const std::optional<TimePoint> held = heldUntil(now);
@@ -185,10 +186,10 @@
         co_return co_await refuse(503, toString(RefusalReason::EndsEngines), *held - now);
     }
     if (m_exchange.ran() == Ran::No) {
-        constexpr Duration LeastRetryAfter = std::chrono::milliseconds(100);
-        const Duration after = std::max<Duration>(m_none.retryAt - now, LeastRetryAfter);
+        constexpr Duration MinRetryAfter = std::chrono::milliseconds(100);
+        const Duration after = std::max<Duration>(m_noBackend.retryAt - now, MinRetryAfter);
         const std::string_view reason =
-                m_timedOut || m_isTooLate || m_deadline - now < LeastTimeForTry
+                m_timedOut || m_isTooLate || m_deadline - now < MinTimeForTry
                         ? toString(RefusalReason::TooLate)
                 : m_budgetSpent ? toString(RefusalReason::RetryBudgetSpent)
                                 : toString(RefusalReason::NoBackend);
@@ -198,8 +199,8 @@
     co_return co_await refuse(status, toString(RefusalReason::OutcomeUnknown), std::nullopt);
 }
 
-asio::awaitable<ExchangeEnd> Exchange::refuse(int status, std::string_view reason,
-                                              std::optional<Duration> retryAfter)
+asio::awaitable<ExchangeResult> Exchange::refuse(int status, std::string_view reason,
+                                                 std::optional<Duration> retryAfter)
 {
     std::string body = R"({"error":")" + std::string(reason) + R"(","ran":")"
                        + std::string(toString(m_exchange.ran())) + "\"}";
@@ -212,9 +213,9 @@
     }
     out += "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
     m_status = status;
-    const bool isThere = co_await m_sink.write(std::move(out));
+    const bool isWritten = co_await m_sink.write(std::move(out));
     log(status, reason);
-    co_return isThere ? ExchangeEnd::Answered : ExchangeEnd::Broken;
+    co_return isWritten ? ExchangeResult::Answered : ExchangeResult::Broken;
 }
 
 void Exchange::log(int status, std::string_view outcome)
@@ -231,7 +232,7 @@
             .field("proof_age_ms", m_state.configAge())
             .field("backend", m_choice ? m_choice->backend.id.str() : "none")
             .field("weights", m_choice ? m_choice->weights : 0)
-            .field("weights_left_ms", m_weightsLeft.value_or(Duration::zero()))
+            .field("weights_left_ms", m_weightsTimeLeft.value_or(Duration::zero()))
             .field("part", m_choice ? m_choice->part : 0)
             .field("shared", m_choice ? m_choice->sharedTokens : 0)
             .field("prompt", m_request.promptTokens)
