--- a/src/vanilladyke/traffic/exchange_test.cpp
+++ b/src/vanilladyke/traffic/exchange_test.cpp
@@ -47,25 +47,25 @@
         if (error) {
             co_return;
         }
-        SeenRequest read{std::string(request.target()), {}, request.body(), number};
+        ReceivedRequest read{std::string(request.target()), {}, request.body(), number};
         for (const auto &field : request) {
             read.fields[std::string(field.name_string())] = std::string(field.value());
         }
-        seen.push_back(read);
+        received.push_back(read);
         const ScriptedAnswer answer = m_script(read);
         if (answer.after > Duration::zero()) {
             asio::steady_timer timer(m_context, answer.after);
             co_await timer.async_wait(into(error));
         }
         co_await asio::async_write(socket, asio::buffer(answer.bytes), into(error));
-        if (answer.then == ScriptedAnswer::Then::Reset) {
+        if (answer.nextAction == ScriptedAnswer::NextAction::Reset) {
             socket.set_option(asio::socket_base::linger(true, 0), error);
             co_return;
         }
-        if (answer.then == ScriptedAnswer::Then::Close) {
+        if (answer.nextAction == ScriptedAnswer::NextAction::Close) {
             co_return;
         }
-        if (answer.then == ScriptedAnswer::Then::Silence) {
+        if (answer.nextAction == ScriptedAnswer::NextAction::Hang) {
             std::array<char, 1> byte{};
             co_await socket.async_read_some(asio::buffer(byte), into(error));
             ++closedByPeer;
@@ -74,7 +74,7 @@
     }
 }
 
-Dialect plainDialect()
+Dialect testDialect()
 {
     Dialect dialect;
     dialect.readCaller = [](const HttpFields &fields,
@@ -114,7 +114,7 @@
 namespace {
 
 using std::chrono::milliseconds;
-using Then = ScriptedAnswer::Then;
+using NextAction = ScriptedAnswer::NextAction;
 
 std::string answer(const std::string &id, const std::string &body, int status = 200,
                    const std::string &extra = {})
@@ -141,13 +141,13 @@
 {
 protected:
     ExchangeTest()
-        : m_state(m_context, plainDialect(), settings(), 1)
+        : m_state(m_context, testDialect(), settings(), 1)
         , m_acceptor(m_context, Tcp::endpoint(asio::ip::address_v4::loopback(), 0))
     {
-        m_state.configAge = [this] { return m_age; };
+        m_state.configAge = [this] { return m_configAge; };
         m_state.budget.setTerms({0.2, 1000, std::chrono::seconds(10), 1});
         m_state.ticker.start();
-        put(RequestKind::Safe, false);
+        setRoute(RequestKind::Safe, false);
     }
 
     static TrafficSettings settings()
@@ -157,8 +157,8 @@
         return result;
     }
 
-    void put(RequestKind kind, bool isResumable, Duration timeout = std::chrono::seconds(5),
-             Duration target = std::chrono::seconds(2), int mostBackends = 2)
+    void setRoute(RequestKind kind, bool isResumable, Duration timeout = std::chrono::seconds(5),
+                  Duration target = std::chrono::seconds(2), int mostBackends = 2)
     {
         RoutingConfig config;
         Route route;
@@ -177,7 +177,7 @@
         m_state.table = std::make_shared<const RouteTable>(config);
     }
 
-    ScriptedBackend &serve(ScriptedBackend::Script script)
+    ScriptedBackend &addBackend(ScriptedBackend::Script script)
     {
         m_backends.push_back(std::make_unique<ScriptedBackend>(m_context, std::move(script)));
         BackendEntry entry;
@@ -243,7 +243,7 @@
     asio::io_context m_context;
     TrafficState m_state;
     Tcp::acceptor m_acceptor;
-    Duration m_age{};
+    Duration m_configAge{};
     std::vector<std::unique_ptr<ScriptedBackend>> m_backends;
     std::vector<BackendEntry> m_entries;
     std::unique_ptr<Tcp::socket> m_caller;
@@ -251,46 +251,46 @@
     std::string m_body;
 };
 
-ScriptedAnswer good(const SeenRequest &seen)
+ScriptedAnswer good(const ReceivedRequest &received)
 {
-    return {answer(seen.fields.at("Id"), "body"), Then::KeepOpen};
+    return {answer(received.fields.at("Id"), "body"), NextAction::KeepOpen};
 }
 
-ScriptedAnswer refused(const SeenRequest &seen)
+ScriptedAnswer refused(const ReceivedRequest &received)
 {
-    return {answer(seen.fields.at("Id"), "", 503, "Refused: 1\r\n"), Then::KeepOpen};
+    return {answer(received.fields.at("Id"), "", 503, "Refused: 1\r\n"), NextAction::KeepOpen};
 }
 
 TEST_F(ExchangeTest, PassesTheWholeAnswerAndReusesTheConnection)
 {
-    auto &backend = serve(good);
+    auto &backend = addBackend(good);
     std::string body;
     EXPECT_EQ(ask("1", &body), 200);
     EXPECT_EQ(body, "body");
     send(request("2"));
     EXPECT_EQ(receive(), 200);
-    ASSERT_EQ(backend.seen.size(), 2U);
-    EXPECT_EQ(backend.seen[1].connection, 1);
-    EXPECT_EQ(backend.seen[0].body, "hi");
-    EXPECT_EQ(backend.seen[0].fields.at("Expect-Engine"), "e1");
-    EXPECT_EQ(backend.seen[0].fields.at("Customer"), "c");
-    EXPECT_FALSE(backend.seen[0].fields.contains("Key"));
+    ASSERT_EQ(backend.received.size(), 2U);
+    EXPECT_EQ(backend.received[1].connection, 1);
+    EXPECT_EQ(backend.received[0].body, "hi");
+    EXPECT_EQ(backend.received[0].fields.at("Expect-Engine"), "e1");
+    EXPECT_EQ(backend.received[0].fields.at("Customer"), "c");
+    EXPECT_FALSE(backend.received[0].fields.contains("Key"));
 }
 
 TEST_F(ExchangeTest, ARequestThatAServerRefusedGoesToAnotherOne)
 {
-    put(RequestKind::Unsafe, false);
-    serve(refused);
-    auto &second = serve(good);
+    setRoute(RequestKind::Unsafe, false);
+    addBackend(refused);
+    auto &second = addBackend(good);
     EXPECT_EQ(ask("1"), 200);
-    EXPECT_EQ(second.seen.size(), 1U);
+    EXPECT_EQ(second.received.size(), 1U);
 }
 
 TEST_F(ExchangeTest, WhenAllServersRefuseTheCallerHearsThatItDidNotRun)
 {
-    put(RequestKind::Unsafe, false);
-    serve(refused);
-    serve(refused);
+    setRoute(RequestKind::Unsafe, false);
+    addBackend(refused);
+    addBackend(refused);
     EXPECT_EQ(ask("1"), 503);
     EXPECT_NE(m_body.find(R"("ran":"no")"), std::string::npos);
 }
@@ -299,28 +299,29 @@
 // or a caller that is told "not run" and repeats it, could book the same panel for two brands.
 TEST_F(ExchangeTest, ALostRequestThatMayNotRepeatIsNeitherSentAgainNorCalledNotRun)
 {
-    put(RequestKind::Unsafe, false);
-    serve([](const SeenRequest &) { return ScriptedAnswer{"", Then::Reset}; });
-    auto &second = serve(good);
+    setRoute(RequestKind::Unsafe, false);
+    addBackend([](const ReceivedRequest &) { return ScriptedAnswer{"", NextAction::Reset}; });
+    auto &second = addBackend(good);
     EXPECT_EQ(ask("1"), 502);
-    EXPECT_TRUE(second.seen.empty());
+    EXPECT_TRUE(second.received.empty());
     EXPECT_NE(m_body.find(R"("ran":"unknown")"), std::string::npos);
 }
 
 TEST_F(ExchangeTest, ALostRequestThatMayRepeatIsSentAgain)
 {
-    serve([](const SeenRequest &) { return ScriptedAnswer{"", Then::Reset}; });
-    serve(good);
+    addBackend([](const ReceivedRequest &) { return ScriptedAnswer{"", NextAction::Reset}; });
+    addBackend(good);
     EXPECT_EQ(ask("1"), 200);
 }
 
 TEST_F(ExchangeTest, AFailureOfEveryServerIsPassedOnAsItWasGiven)
 {
-    const auto fails = [](const SeenRequest &seen) {
-        return ScriptedAnswer{answer(seen.fields.at("Id"), "broken", 500), Then::KeepOpen};
+    const auto fails = [](const ReceivedRequest &received) {
+        return ScriptedAnswer{answer(received.fields.at("Id"), "broken", 500),
+                              NextAction::KeepOpen};
     };
-    serve(fails);
-    serve(fails);
+    addBackend(fails);
+    addBackend(fails);
     EXPECT_EQ(ask("1"), 500);
     EXPECT_EQ(m_body, "broken");
 }
@@ -329,39 +330,39 @@
 // order.
 TEST_F(ExchangeTest, ABrokenStreamGoesOnBehindTheLastWholeEvent)
 {
-    put(RequestKind::Stream, true);
-    serve([](const SeenRequest &seen) {
-        return ScriptedAnswer{streamHead(seen.fields.at("Id")) + eventChunk(1) + eventChunk(2)
+    setRoute(RequestKind::Stream, true);
+    addBackend([](const ReceivedRequest &received) {
+        return ScriptedAnswer{streamHead(received.fields.at("Id")) + eventChunk(1) + eventChunk(2)
                                       + "5\r\nid: 3\r\n",
-                              Then::Reset};
+                              NextAction::Reset};
     });
-    auto &second = serve([](const SeenRequest &seen) {
-        return ScriptedAnswer{streamHead(seen.fields.at("Id")) + eventChunk(3) + "0\r\n\r\n",
-                              Then::KeepOpen};
+    auto &second = addBackend([](const ReceivedRequest &received) {
+        return ScriptedAnswer{streamHead(received.fields.at("Id")) + eventChunk(3) + "0\r\n\r\n",
+                              NextAction::KeepOpen};
     });
     EXPECT_EQ(ask("1"), 200);
     EXPECT_EQ(m_body, "id: 1\ndata: d\n\nid: 2\ndata: d\n\nid: 3\ndata: d\n\n");
-    ASSERT_EQ(second.seen.size(), 1U);
-    EXPECT_EQ(second.seen[0].fields.at("Resume"), "2");
+    ASSERT_EQ(second.received.size(), 1U);
+    EXPECT_EQ(second.received[0].fields.at("Resume"), "2");
 }
 
 // An engine fails under overload and the others refuse at first. Without another attempt the caller
 // would lose a half-delivered answer although an engine has room a few milliseconds later.
 TEST_F(ExchangeTest, ABrokenStreamIsTakenUpByAnEngineThatRefusedAtFirst)
 {
-    put(RequestKind::Stream, true);
-    serve([](const SeenRequest &seen) {
-        const bool isFirst = !seen.fields.contains("Resume");
-        return isFirst ? ScriptedAnswer{streamHead(seen.fields.at("Id")) + eventChunk(1),
-                                        Then::Reset}
-                       : refused(seen);
+    setRoute(RequestKind::Stream, true);
+    addBackend([](const ReceivedRequest &received) {
+        const bool isFirst = !received.fields.contains("Resume");
+        return isFirst ? ScriptedAnswer{streamHead(received.fields.at("Id")) + eventChunk(1),
+                                        NextAction::Reset}
+                       : refused(received);
     });
     int asked = 0;
-    serve([&asked](const SeenRequest &seen) {
-        return ++asked <= 2 ? refused(seen)
-                            : ScriptedAnswer{streamHead(seen.fields.at("Id")) + eventChunk(2)
+    addBackend([&asked](const ReceivedRequest &received) {
+        return ++asked <= 2 ? refused(received)
+                            : ScriptedAnswer{streamHead(received.fields.at("Id")) + eventChunk(2)
                                                      + "0\r\n\r\n",
-                                             Then::KeepOpen};
+                                             NextAction::KeepOpen};
     });
     EXPECT_EQ(ask("1"), 200);
     EXPECT_EQ(m_body, "id: 1\ndata: d\n\nid: 2\ndata: d\n\n");
@@ -371,9 +372,10 @@
 // caller take half a campaign text for the complete one.
 TEST_F(ExchangeTest, ABrokenStreamThatMayNotRepeatDoesNotLookWhole)
 {
-    put(RequestKind::Stream, false);
-    serve([](const SeenRequest &seen) {
-        return ScriptedAnswer{streamHead(seen.fields.at("Id")) + eventChunk(1), Then::Close};
+    setRoute(RequestKind::Stream, false);
+    addBackend([](const ReceivedRequest &received) {
+        return ScriptedAnswer{streamHead(received.fields.at("Id")) + eventChunk(1),
+                              NextAction::Close};
     });
     EXPECT_EQ(ask("1"), 0);
 }
@@ -381,36 +383,37 @@
 // A server sends a duplicate answer to an earlier request on the connection of the next one.
 TEST_F(ExchangeTest, AnAnswerToAnotherRequestIsNotGivenToThisCaller)
 {
-    auto &backend = serve([](const SeenRequest &seen) {
-        const std::string &id = seen.fields.at("Id");
-        return ScriptedAnswer{answer("other", "foreign") + answer(id, "own"), Then::KeepOpen};
+    auto &backend = addBackend([](const ReceivedRequest &received) {
+        const std::string &id = received.fields.at("Id");
+        return ScriptedAnswer{answer("other", "foreign") + answer(id, "own"), NextAction::KeepOpen};
     });
     EXPECT_EQ(ask("1"), 200);
     EXPECT_EQ(m_body, "own");
     send(request("2"));
     EXPECT_EQ(receive(), 200);
-    EXPECT_EQ(backend.seen[1].connection, 2)
+    EXPECT_EQ(backend.received[1].connection, 2)
             << "a connection with a stray answer must not be reused";
 }
 
 TEST_F(ExchangeTest, BytesBehindAnAnswerEndTheConnection)
 {
-    auto &backend = serve([](const SeenRequest &seen) {
-        return ScriptedAnswer{answer(seen.fields.at("Id"), "own") + "junk", Then::KeepOpen};
+    auto &backend = addBackend([](const ReceivedRequest &received) {
+        return ScriptedAnswer{answer(received.fields.at("Id"), "own") + "junk",
+                              NextAction::KeepOpen};
     });
     EXPECT_EQ(ask("1"), 200);
     EXPECT_EQ(m_body, "own");
     send(request("2"));
     EXPECT_EQ(receive(), 200);
-    EXPECT_EQ(backend.seen[1].connection, 2);
+    EXPECT_EQ(backend.received[1].connection, 2);
 }
 
 TEST_F(ExchangeTest, AnAnswerThatEndsWithItsConnectionIsWhole)
 {
-    serve([](const SeenRequest &seen) {
-        return ScriptedAnswer{"HTTP/1.1 200 OK\r\nId: " + seen.fields.at("Id")
+    addBackend([](const ReceivedRequest &received) {
+        return ScriptedAnswer{"HTTP/1.1 200 OK\r\nId: " + received.fields.at("Id")
                                       + "\r\nStamp: s\r\n\r\nunframed",
-                              Then::Close};
+                              NextAction::Close};
     });
     EXPECT_EQ(ask("1"), 200);
     EXPECT_EQ(m_body, "unframed");
@@ -418,18 +421,18 @@
 
 TEST_F(ExchangeTest, ACutOrEncodedOrUnstampedAnswerIsNoSuccess)
 {
-    put(RequestKind::Unsafe, false);
-    serve([](const SeenRequest &seen) {
-        const std::string &id = seen.fields.at("Id");
+    setRoute(RequestKind::Unsafe, false);
+    addBackend([](const ReceivedRequest &received) {
+        const std::string &id = received.fields.at("Id");
         if (id == "cut") {
-            return ScriptedAnswer{answer(id, "body").substr(0, 58), Then::Close};
+            return ScriptedAnswer{answer(id, "body").substr(0, 58), NextAction::Close};
         }
         if (id == "encoded") {
             return ScriptedAnswer{answer(id, "body", 200, "Content-Encoding: gzip\r\n"),
-                                  Then::Close};
+                                  NextAction::Close};
         }
         return ScriptedAnswer{"HTTP/1.1 200 OK\r\nId: " + id + "\r\nContent-Length: 0\r\n\r\n",
-                              Then::Close};
+                              NextAction::Close};
     });
     for (const char *id : {"cut", "encoded", "unstamped"}) {
         m_buffer.clear();
@@ -441,27 +444,31 @@
 // other requests.
 TEST_F(ExchangeTest, WhenTheCallerLeavesTheServerIsToldAtOnce)
 {
-    put(RequestKind::Stream, false);
-    auto &backend = serve([](const SeenRequest &) { return ScriptedAnswer{"", Then::Silence}; });
+    setRoute(RequestKind::Stream, false);
+    auto &backend = addBackend([](const ReceivedRequest &) {
+        return ScriptedAnswer{"", NextAction::Hang};
+    });
     connect();
     send(request("1"));
-    runUntil([&] { return backend.seen.size() == 1; });
+    runUntil([&] { return backend.received.size() == 1; });
     m_caller->close();
     runUntil([&] { return backend.closedByPeer == 1; });
-    EXPECT_EQ(backend.seen.size(), 1U);
+    EXPECT_EQ(backend.received.size(), 1U);
 }
 
 TEST_F(ExchangeTest, ARequestIsAnsweredAtItsRoutesTimeout)
 {
-    put(RequestKind::Unsafe, false, milliseconds(150));
-    auto &backend = serve([](const SeenRequest &) { return ScriptedAnswer{"", Then::Silence}; });
+    setRoute(RequestKind::Unsafe, false, milliseconds(150));
+    auto &backend = addBackend([](const ReceivedRequest &) {
+        return ScriptedAnswer{"", NextAction::Hang};
+    });
     EXPECT_EQ(ask("1"), 504);
     runUntil([&] { return backend.closedByPeer == 1; });
 }
 
 TEST_F(ExchangeTest, AServerThatCanNotBeReachedLeavesTheRequestNotRun)
 {
-    put(RequestKind::Unsafe, false);
+    setRoute(RequestKind::Unsafe, false);
     BackendEntry gone;
     gone.id = EngineId("gone");
     gone.service = ServiceId("s");
@@ -477,18 +484,18 @@
 // and a valid key must not be reported as unknown.
 TEST_F(ExchangeTest, WithoutProofOfTheKeysAgeNothingPassesAndNothingIsDenied)
 {
-    auto &backend = serve(good);
+    auto &backend = addBackend(good);
     EXPECT_EQ(ask("1"), 200);
-    m_age = std::chrono::seconds(6);
+    m_configAge = std::chrono::seconds(6);
     EXPECT_EQ(ask("2"), 503);
-    EXPECT_EQ(backend.seen.size(), 1U);
+    EXPECT_EQ(backend.received.size(), 1U);
     m_state.table.reset();
     EXPECT_EQ(ask("3"), 503);
 }
 
 TEST_F(ExchangeTest, UnknownRoutesAndKeysAreDenied)
 {
-    serve(good);
+    addBackend(good);
     connect();
     send(request("1", "/b/x"));
     EXPECT_EQ(receive(), 404);
@@ -523,7 +530,7 @@
     connect();
     send(request("1"));
     asio::steady_timer later(m_context, milliseconds(60));
-    later.async_wait([this](const ErrorCode &) { serve(good); });
+    later.async_wait([this](const ErrorCode &) { addBackend(good); });
     EXPECT_EQ(receive(), 200);
 }
 
@@ -532,30 +539,33 @@
 // aborted it and the caller received half of an answer that the engine was about to complete.
 TEST_F(ExchangeTest, ASlowServerIsWaitedForIfNoOtherOneMayBeAsked)
 {
-    put(RequestKind::Stream, true, std::chrono::seconds(5), milliseconds(20));
+    setRoute(RequestKind::Stream, true, std::chrono::seconds(5), milliseconds(20));
     m_state.budget.setTerms({0, 0, std::chrono::seconds(10), 1});
-    auto &slow = serve([](const SeenRequest &seen) {
-        return ScriptedAnswer{streamHead(seen.fields.at("Id")) + eventChunk(1) + "0\r\n\r\n",
-                              Then::KeepOpen, milliseconds(600)};
+    auto &slow = addBackend([](const ReceivedRequest &received) {
+        return ScriptedAnswer{streamHead(received.fields.at("Id")) + eventChunk(1) + "0\r\n\r\n",
+                              NextAction::KeepOpen, milliseconds(600)};
     });
-    serve(good);
+    addBackend(good);
     EXPECT_EQ(ask("1"), 200);
     EXPECT_EQ(m_body, "id: 1\ndata: d\n\n");
-    EXPECT_EQ(slow.seen.size(), 1U);
+    EXPECT_EQ(slow.received.size(), 1U);
 }
 
 // An interrupted stream waits for an engine on old weights when these expire. If it is not
 // withdrawn, it begins on weights on which no request may begin any more.
 TEST_F(ExchangeTest, AResumedStreamIsWithdrawnBeforeTheTimeOfOldWeightsIsOver)
 {
-    put(RequestKind::Stream, true, std::chrono::seconds(5), std::chrono::seconds(2), 3);
-    serve([](const SeenRequest &seen) {
-        return ScriptedAnswer{streamHead(seen.fields.at("Id")) + eventChunk(1), Then::Close};
+    setRoute(RequestKind::Stream, true, std::chrono::seconds(5), std::chrono::seconds(2), 3);
+    addBackend([](const ReceivedRequest &received) {
+        return ScriptedAnswer{streamHead(received.fields.at("Id")) + eventChunk(1),
+                              NextAction::Close};
+    });
+    auto &old = addBackend([](const ReceivedRequest &) {
+        return ScriptedAnswer{"", NextAction::Hang};
     });
-    auto &old = serve([](const SeenRequest &) { return ScriptedAnswer{"", Then::Silence}; });
-    serve([](const SeenRequest &seen) {
-        return ScriptedAnswer{streamHead(seen.fields.at("Id")) + eventChunk(2) + "0\r\n\r\n",
-                              Then::KeepOpen};
+    addBackend([](const ReceivedRequest &received) {
+        return ScriptedAnswer{streamHead(received.fields.at("Id")) + eventChunk(2) + "0\r\n\r\n",
+                              NextAction::KeepOpen};
     });
     const ModelId model("m");
     for (std::size_t i = 0; i < m_entries.size(); ++i) {
@@ -572,7 +582,7 @@
          "2\r\n\r\nhi");
     EXPECT_EQ(receive(), 200);
     EXPECT_EQ(m_body, "id: 1\ndata: d\n\nid: 2\ndata: d\n\n");
-    EXPECT_EQ(old.seen.size(), 1U);
+    EXPECT_EQ(old.received.size(), 1U);
     EXPECT_EQ(old.closedByPeer, 1);
 }
 
@@ -580,23 +590,23 @@
 // try must not be aborted.
 TEST_F(ExchangeTest, TheLastServerThatTheRouteAllowsIsWaitedFor)
 {
-    put(RequestKind::Safe, false, std::chrono::seconds(5), milliseconds(20));
-    serve([](const SeenRequest &) { return ScriptedAnswer{"", Then::Reset}; });
-    const auto late = [](const SeenRequest &seen) {
-        return ScriptedAnswer{answer(seen.fields.at("Id"), "late"), Then::KeepOpen,
+    setRoute(RequestKind::Safe, false, std::chrono::seconds(5), milliseconds(20));
+    addBackend([](const ReceivedRequest &) { return ScriptedAnswer{"", NextAction::Reset}; });
+    const auto late = [](const ReceivedRequest &received) {
+        return ScriptedAnswer{answer(received.fields.at("Id"), "late"), NextAction::KeepOpen,
                               milliseconds(600)};
     };
-    serve(late); // whichever is chosen second, the other one is available but must not be used
-    serve(late);
+    addBackend(late); // whichever is chosen second, the other one is available but must not be used
+    addBackend(late);
     EXPECT_EQ(ask("1"), 200);
     EXPECT_EQ(m_body, "late");
 }
 
 TEST_F(ExchangeTest, ASlowServerIsLeftIfAnotherOneMayBeAsked)
 {
-    put(RequestKind::Safe, false, std::chrono::seconds(5), milliseconds(20));
-    serve([](const SeenRequest &) { return ScriptedAnswer{"", Then::Silence}; });
-    serve(good);
+    setRoute(RequestKind::Safe, false, std::chrono::seconds(5), milliseconds(20));
+    addBackend([](const ReceivedRequest &) { return ScriptedAnswer{"", NextAction::Hang}; });
+    addBackend(good);
     EXPECT_EQ(ask("1"), 200);
     EXPECT_EQ(m_body, "body");
 }
@@ -604,10 +614,10 @@
 TEST_F(ExchangeTest, SecondSendsStayWithinTheBudget)
 {
     m_state.budget.setTerms({0, 0, std::chrono::seconds(10), 1});
-    serve(refused);
-    auto &second = serve(good);
+    addBackend(refused);
+    auto &second = addBackend(good);
     EXPECT_EQ(ask("1"), 503);
-    EXPECT_TRUE(second.seen.empty());
+    EXPECT_TRUE(second.received.empty());
 }
 
 } // namespace
--- a/src/vanilladyke/traffic/scripted_backend.hpp
+++ b/src/vanilladyke/traffic/scripted_backend.hpp
@@ -11,7 +11,7 @@
 namespace vanilladyke {
 
 /// @brief A request as the server received it.
-struct SeenRequest
+struct ReceivedRequest
 {
     std::string target;
     std::map<std::string, std::string> fields;
@@ -23,7 +23,7 @@
 struct ScriptedAnswer
 {
     std::string bytes;
-    enum class Then { KeepOpen, Close, Reset, Silence } then = Then::KeepOpen;
+    enum class NextAction { KeepOpen, Close, Reset, Hang } nextAction = NextAction::KeepOpen;
     Duration after{}; ///< delay before the bytes are written
 };
 
@@ -31,12 +31,12 @@
 class ScriptedBackend
 {
 public:
-    using Script = std::function<ScriptedAnswer(const SeenRequest &)>;
+    using Script = std::function<ScriptedAnswer(const ReceivedRequest &)>;
 
     ScriptedBackend(asio::io_context &context, Script script);
 
     [[nodiscard]] Endpoint endpoint() const;
-    std::vector<SeenRequest> seen;
+    std::vector<ReceivedRequest> received;
     int closedByPeer = 0; ///< connections that the node closed while no answer was sent
 
 private:
@@ -51,6 +51,6 @@
 
 /// @brief Dialect for tests with short header names: "Id", "Key", "Model", "Stamp", "Refused" and
 /// so on.
-[[nodiscard]] Dialect plainDialect();
+[[nodiscard]] Dialect testDialect();
 
 } // namespace vanilladyke
