--- a/src/vanilladyke/traffic/exchange_test.cpp
+++ b/src/vanilladyke/traffic/exchange_test.cpp
@@ -261,7 +261,7 @@
     return {answer(received.fields.at("Id"), "", 503, "Refused: 1\r\n"), NextAction::KeepOpen};
 }
 
-TEST_F(ExchangeTest, PassesTheWholeAnswerAndReusesTheConnection)
+TEST_F(ExchangeTest, ForwardsTheCompleteAnswerAndReusesTheConnection)
 {
     auto &backend = addBackend(good);
     std::string body;
@@ -277,7 +277,7 @@
     EXPECT_FALSE(backend.received[0].fields.contains("Key"));
 }
 
-TEST_F(ExchangeTest, ARequestThatAServerRefusedGoesToAnotherOne)
+TEST_F(ExchangeTest, RetriesARequestThatAServerRefused)
 {
     setRoute(RequestKind::Unsafe, false);
     addBackend(refused);
@@ -286,7 +286,7 @@
     EXPECT_EQ(second.received.size(), 1U);
 }
 
-TEST_F(ExchangeTest, WhenAllServersRefuseTheCallerHearsThatItDidNotRun)
+TEST_F(ExchangeTest, ReportsNotRunWhenAllServersRefuse)
 {
     setRoute(RequestKind::Unsafe, false);
     addBackend(refused);
@@ -297,7 +297,7 @@
 
 // The connection is reset after a booking request was sent, so the request may have run. A retry,
 // or a caller that is told "not run" and repeats it, could book the same panel for two brands.
-TEST_F(ExchangeTest, ALostRequestThatMayNotRepeatIsNeitherSentAgainNorCalledNotRun)
+TEST_F(ExchangeTest, ALostUnsafeRequestIsNeitherRetriedNorReportedNotRun)
 {
     setRoute(RequestKind::Unsafe, false);
     addBackend([](const ReceivedRequest &) { return ScriptedAnswer{"", NextAction::Reset}; });
@@ -307,14 +307,14 @@
     EXPECT_NE(m_body.find(R"("ran":"unknown")"), std::string::npos);
 }
 
-TEST_F(ExchangeTest, ALostRequestThatMayRepeatIsSentAgain)
+TEST_F(ExchangeTest, ALostSafeRequestIsRetried)
 {
     addBackend([](const ReceivedRequest &) { return ScriptedAnswer{"", NextAction::Reset}; });
     addBackend(good);
     EXPECT_EQ(ask("1"), 200);
 }
 
-TEST_F(ExchangeTest, AFailureOfEveryServerIsPassedOnAsItWasGiven)
+TEST_F(ExchangeTest, ForwardsTheFailureWhenEveryServerFails)
 {
     const auto fails = [](const ReceivedRequest &received) {
         return ScriptedAnswer{answer(received.fields.at("Id"), "broken", 500),
@@ -328,7 +328,7 @@
 
 // An engine crashes in the middle of an event. The caller has to receive every event once and in
 // order.
-TEST_F(ExchangeTest, ABrokenStreamGoesOnBehindTheLastWholeEvent)
+TEST_F(ExchangeTest, AnInterruptedStreamResumesAfterTheLastCompleteEvent)
 {
     setRoute(RequestKind::Stream, true);
     addBackend([](const ReceivedRequest &received) {
@@ -348,7 +348,7 @@
 
 // An engine fails under overload and the others refuse at first. Without another attempt the caller
 // would lose a half-delivered answer although an engine has room a few milliseconds later.
-TEST_F(ExchangeTest, ABrokenStreamIsTakenUpByAnEngineThatRefusedAtFirst)
+TEST_F(ExchangeTest, AnInterruptedStreamResumesOnAnEngineThatRefusedAtFirst)
 {
     setRoute(RequestKind::Stream, true);
     addBackend([](const ReceivedRequest &received) {
@@ -370,7 +370,7 @@
 
 // The engine of a stream that may not run twice fails. A regular end of the stream would make the
 // caller take half a campaign text for the complete one.
-TEST_F(ExchangeTest, ABrokenStreamThatMayNotRepeatDoesNotLookWhole)
+TEST_F(ExchangeTest, AnInterruptedUnsafeStreamDoesNotEndRegularly)
 {
     setRoute(RequestKind::Stream, false);
     addBackend([](const ReceivedRequest &received) {
@@ -381,7 +381,7 @@
 }
 
 // A server sends a duplicate answer to an earlier request on the connection of the next one.
-TEST_F(ExchangeTest, AnAnswerToAnotherRequestIsNotGivenToThisCaller)
+TEST_F(ExchangeTest, AnAnswerToAnotherRequestIsNotForwarded)
 {
     auto &backend = addBackend([](const ReceivedRequest &received) {
         const std::string &id = received.fields.at("Id");
@@ -395,7 +395,7 @@
             << "a connection with a stray answer must not be reused";
 }
 
-TEST_F(ExchangeTest, BytesBehindAnAnswerEndTheConnection)
+TEST_F(ExchangeTest, BytesAfterAnAnswerCloseTheConnection)
 {
     auto &backend = addBackend([](const ReceivedRequest &received) {
         return ScriptedAnswer{answer(received.fields.at("Id"), "own") + "junk",
@@ -408,7 +408,7 @@
     EXPECT_EQ(backend.received[1].connection, 2);
 }
 
-TEST_F(ExchangeTest, AnAnswerThatEndsWithItsConnectionIsWhole)
+TEST_F(ExchangeTest, AnAnswerDelimitedByTheEndOfItsConnectionIsComplete)
 {
     addBackend([](const ReceivedRequest &received) {
         return ScriptedAnswer{"HTTP/1.1 200 OK\r\nId: " + received.fields.at("Id")
@@ -419,7 +419,7 @@
     EXPECT_EQ(m_body, "unframed");
 }
 
-TEST_F(ExchangeTest, ACutOrEncodedOrUnstampedAnswerIsNoSuccess)
+TEST_F(ExchangeTest, ATruncatedOrEncodedOrUnstampedAnswerIsNoSuccess)
 {
     setRoute(RequestKind::Unsafe, false);
     addBackend([](const ReceivedRequest &received) {
@@ -442,7 +442,7 @@
 
 // A caller disconnects while an engine runs its request. The engine's slot has to be released for
 // other requests.
-TEST_F(ExchangeTest, WhenTheCallerLeavesTheServerIsToldAtOnce)
+TEST_F(ExchangeTest, ADisconnectOfTheCallerClosesTheServerConnection)
 {
     setRoute(RequestKind::Stream, false);
     auto &backend = addBackend([](const ReceivedRequest &) {
@@ -456,7 +456,7 @@
     EXPECT_EQ(backend.received.size(), 1U);
 }
 
-TEST_F(ExchangeTest, ARequestIsAnsweredAtItsRoutesTimeout)
+TEST_F(ExchangeTest, AnswersAtTheRoutesTimeout)
 {
     setRoute(RequestKind::Unsafe, false, milliseconds(150));
     auto &backend = addBackend([](const ReceivedRequest &) {
@@ -466,7 +466,7 @@
     runUntil([&] { return backend.closedByPeer == 1; });
 }
 
-TEST_F(ExchangeTest, AServerThatCanNotBeReachedLeavesTheRequestNotRun)
+TEST_F(ExchangeTest, ReportsNotRunWhenTheServerIsUnreachable)
 {
     setRoute(RequestKind::Unsafe, false);
     BackendEntry gone;
@@ -482,7 +482,7 @@
 
 // The store with the keys is unreachable. A key that was revoked meanwhile must not be accepted,
 // and a valid key must not be reported as unknown.
-TEST_F(ExchangeTest, WithoutProofOfTheKeysAgeNothingPassesAndNothingIsDenied)
+TEST_F(ExchangeTest, WithoutAFreshnessProofKeysAreNeitherAcceptedNorDenied)
 {
     auto &backend = addBackend(good);
     EXPECT_EQ(ask("1"), 200);
@@ -525,7 +525,7 @@
 
 // After a restart of all processes, a request reaches a node that has its configuration but
 // receives the list of servers only some milliseconds later.
-TEST_F(ExchangeTest, ANodeThatJustStartedWaitsForItsListOfServers)
+TEST_F(ExchangeTest, WaitsForTheListOfServersAfterAStart)
 {
     connect();
     send(request("1"));
@@ -537,7 +537,7 @@
 // Guards against aborting a slow try when the retry budget allows no retry. During a configuration
 // change engines were overloaded and a stream's first event took nine tenths of a second; the node
 // aborted it and the caller received half of an answer that the engine was about to complete.
-TEST_F(ExchangeTest, ASlowServerIsWaitedForIfNoOtherOneMayBeAsked)
+TEST_F(ExchangeTest, WaitsForASlowServerIfNoRetryIsAllowed)
 {
     setRoute(RequestKind::Stream, true, std::chrono::seconds(5), milliseconds(20));
     m_state.budget.setTerms({0, 0, std::chrono::seconds(10), 1});
@@ -553,7 +553,7 @@
 
 // An interrupted stream waits for an engine on old weights when these expire. If it is not
 // withdrawn, it begins on weights on which no request may begin any more.
-TEST_F(ExchangeTest, AResumedStreamIsWithdrawnBeforeTheTimeOfOldWeightsIsOver)
+TEST_F(ExchangeTest, AResumedStreamIsWithdrawnBeforeOldWeightsExpire)
 {
     setRoute(RequestKind::Stream, true, std::chrono::seconds(5), std::chrono::seconds(2), 3);
     addBackend([](const ReceivedRequest &received) {
@@ -588,7 +588,7 @@
 
 // The first engine crashes and the second one is slow. The route allows no third one, so the second
 // try must not be aborted.
-TEST_F(ExchangeTest, TheLastServerThatTheRouteAllowsIsWaitedFor)
+TEST_F(ExchangeTest, WaitsForTheLastServerThatTheRouteAllows)
 {
     setRoute(RequestKind::Safe, false, std::chrono::seconds(5), milliseconds(20));
     addBackend([](const ReceivedRequest &) { return ScriptedAnswer{"", NextAction::Reset}; });
@@ -602,7 +602,7 @@
     EXPECT_EQ(m_body, "late");
 }
 
-TEST_F(ExchangeTest, ASlowServerIsLeftIfAnotherOneMayBeAsked)
+TEST_F(ExchangeTest, RetriesASlowServersRequestIfAllowed)
 {
     setRoute(RequestKind::Safe, false, std::chrono::seconds(5), milliseconds(20));
     addBackend([](const ReceivedRequest &) { return ScriptedAnswer{"", NextAction::Hang}; });
@@ -611,7 +611,7 @@
     EXPECT_EQ(m_body, "body");
 }
 
-TEST_F(ExchangeTest, SecondSendsStayWithinTheBudget)
+TEST_F(ExchangeTest, RetriesStayWithinTheBudget)
 {
     m_state.budget.setTerms({0, 0, std::chrono::seconds(10), 1});
     addBackend(refused);
