--- a/include/vanilladyke/traffic/asio.hpp
+++ b/include/vanilladyke/traffic/asio.hpp
@@ -26,7 +26,7 @@
 using ErrorCode = boost::system::error_code;
 
 /// @brief Completion token for co_await that stores a failure in @p error instead of throwing.
-[[nodiscard]] inline auto into(ErrorCode &error)
+[[nodiscard]] inline auto redirectError(ErrorCode &error)
 {
     return asio::redirect_error(asio::use_awaitable, error);
 }
--- a/src/vanilladyke/node/peer_questions.cpp
+++ b/src/vanilladyke/node/peer_questions.cpp
@@ -69,7 +69,7 @@
     m_waiting[question] = waiting;
     m_port.send(message.SerializeAsString(), {*to});
     ErrorCode ignored;
-    co_await waiting->timer.async_wait(into(ignored));
+    co_await waiting->timer.async_wait(redirectError(ignored));
     m_waiting.erase(question);
     co_return std::move(waiting->news);
 }
--- a/src/vanilladyke/node/sealed_port.cpp
+++ b/src/vanilladyke/node/sealed_port.cpp
@@ -52,8 +52,8 @@
     for (;;) {
         ErrorCode error;
         Udp::endpoint from;
-        const std::size_t size =
-                co_await m_socket.async_receive_from(asio::buffer(m_buffer), from, into(error));
+        const std::size_t size = co_await m_socket.async_receive_from(asio::buffer(m_buffer), from,
+                                                                      redirectError(error));
         if (!m_socket.is_open()) {
             co_return;
         }
--- a/src/vanilladyke/node/state_follower.cpp
+++ b/src/vanilladyke/node/state_follower.cpp
@@ -128,7 +128,7 @@
 {
     asio::steady_timer timer(m_context, span);
     ErrorCode ignored;
-    co_await timer.async_wait(into(ignored));
+    co_await timer.async_wait(redirectError(ignored));
 }
 
 asio::awaitable<void> StateFollower::failed(BackOff &backOff)
--- a/src/vanilladyke/node/state_follower_test.cpp
+++ b/src/vanilladyke/node/state_follower_test.cpp
@@ -53,7 +53,7 @@
         while (waitsOn() && MonotonicClock::now() < until) {
             asio::steady_timer timer(m_context, milliseconds(20));
             ErrorCode ignored;
-            co_await timer.async_wait(into(ignored));
+            co_await timer.async_wait(redirectError(ignored));
         }
         --waiting;
         if (leavesOut && wait > Duration::zero()) {
@@ -62,7 +62,7 @@
         while (isSilent) {
             asio::steady_timer timer(m_context, milliseconds(100));
             ErrorCode ignored;
-            co_await timer.async_wait(into(ignored));
+            co_await timer.async_wait(redirectError(ignored));
         }
         if (isDown) {
             co_return failure(StoreError::Unavailable);
--- a/src/vanilladyke/traffic/backend_pool.cpp
+++ b/src/vanilladyke/traffic/backend_pool.cpp
@@ -81,7 +81,7 @@
     connection->isOpen = true;
     ++*connection->openCount;
     ++m_connectionsOpened;
-    co_await connection->socket.async_connect(address, into(error));
+    co_await connection->socket.async_connect(address, redirectError(error));
     connection->deadlineTimer->dueAt.reset();
     if (error || !connection->isOpen) {
         connection->close();
--- a/src/vanilladyke/traffic/caller_session.cpp
+++ b/src/vanilladyke/traffic/caller_session.cpp
@@ -101,7 +101,7 @@
     ErrorCode error;
     if (m_buffer.size() == 0) {
         const std::size_t got =
-                co_await m_socket.async_read_some(m_buffer.prepare(ReadSize), into(error));
+                co_await m_socket.async_read_some(m_buffer.prepare(ReadSize), redirectError(error));
         m_buffer.commit(got);
     }
     m_deadlineTimer->dueAt = MonotonicClock::now() + limits.headerTimeout;
@@ -121,7 +121,7 @@
     parser.header_limit(limits.headerBytes);
     parser.body_limit(limits.bodyBytes);
     ErrorCode error;
-    co_await http::async_read_header(m_socket, m_buffer, parser, into(error));
+    co_await http::async_read_header(m_socket, m_buffer, parser, redirectError(error));
     if (!error && !parser.is_done()) {
         m_deadlineTimer->dueAt = MonotonicClock::now() + BodyTimeout;
         if (parser.get()[http::field::expect] == "100-continue") {
@@ -130,7 +130,7 @@
                 co_return false;
             }
         }
-        co_await http::async_read(m_socket, m_buffer, parser, into(error));
+        co_await http::async_read(m_socket, m_buffer, parser, redirectError(error));
     }
     m_deadlineTimer->dueAt.reset();
     m_isReading = false;
@@ -188,7 +188,7 @@
 {
     m_deadlineTimer->dueAt = MonotonicClock::now() + WriteTimeout;
     ErrorCode error;
-    co_await asio::async_write(m_socket, asio::buffer(bytes), into(error));
+    co_await asio::async_write(m_socket, asio::buffer(bytes), redirectError(error));
     m_deadlineTimer->dueAt.reset();
     co_return !error;
 }
--- a/src/vanilladyke/traffic/engine_liveness_probe.cpp
+++ b/src/vanilladyke/traffic/engine_liveness_probe.cpp
@@ -23,7 +23,7 @@
     const std::shared_ptr<Check> check = known;
     if (!check->isOver) {
         ErrorCode ignored;
-        co_await check->done.async_wait(into(ignored));
+        co_await check->done.async_wait(redirectError(ignored));
     }
     co_return check->hasEnded;
 }
--- a/src/vanilladyke/traffic/exchange.cpp
+++ b/src/vanilladyke/traffic/exchange.cpp
@@ -294,14 +294,14 @@
             constexpr Duration Pause = std::chrono::milliseconds(20);
             m_wait.expires_after(Pause);
             ErrorCode ignored;
-            co_await m_wait.async_wait(into(ignored));
+            co_await m_wait.async_wait(redirectError(ignored));
             co_return m_sends < maxSends();
         }
         co_return false;
     }
     m_wait.expires_after(std::max<Duration>(none.retryAt - now, std::chrono::milliseconds(5)));
     ErrorCode ignored;
-    co_await m_wait.async_wait(into(ignored));
+    co_await m_wait.async_wait(redirectError(ignored));
     co_return true;
 }
 
@@ -517,7 +517,7 @@
         parser.skip(m_request.method == "HEAD");
         ErrorCode error;
         co_await http::async_read_header(connection->socket, connection->buffer, parser,
-                                         into(error));
+                                         redirectError(error));
         if (error) {
             co_return TryResult::Lost;
         }
--- a/src/vanilladyke/traffic/exchange_answers.cpp
+++ b/src/vanilladyke/traffic/exchange_answers.cpp
@@ -70,7 +70,8 @@
     body.size = piece.size();
     body.more = true;
     ErrorCode error;
-    co_await http::async_read_some(connection.socket, connection.buffer, parser, into(error));
+    co_await http::async_read_some(connection.socket, connection.buffer, parser,
+                                   redirectError(error));
     if (error == http::error::need_buffer) {
         error = {};
     }
--- a/src/vanilladyke/traffic/exchange_test.cpp
+++ b/src/vanilladyke/traffic/exchange_test.cpp
@@ -29,7 +29,7 @@
     for (;;) {
         ErrorCode error;
         Tcp::socket socket(m_context);
-        co_await m_acceptor.async_accept(socket, into(error));
+        co_await m_acceptor.async_accept(socket, redirectError(error));
         if (error) {
             co_return;
         }
@@ -43,7 +43,7 @@
     for (;;) {
         http::request<http::string_body> request;
         ErrorCode error;
-        co_await http::async_read(socket, buffer, request, into(error));
+        co_await http::async_read(socket, buffer, request, redirectError(error));
         if (error) {
             co_return;
         }
@@ -55,9 +55,9 @@
         const ScriptedAnswer answer = m_script(read);
         if (answer.after > Duration::zero()) {
             asio::steady_timer timer(m_context, answer.after);
-            co_await timer.async_wait(into(error));
+            co_await timer.async_wait(redirectError(error));
         }
-        co_await asio::async_write(socket, asio::buffer(answer.bytes), into(error));
+        co_await asio::async_write(socket, asio::buffer(answer.bytes), redirectError(error));
         if (answer.nextAction == ScriptedAnswer::NextAction::Reset) {
             socket.set_option(asio::socket_base::linger(true, 0), error);
             co_return;
@@ -67,7 +67,7 @@
         }
         if (answer.nextAction == ScriptedAnswer::NextAction::Hang) {
             std::array<char, 1> byte{};
-            co_await socket.async_read_some(asio::buffer(byte), into(error));
+            co_await socket.async_read_some(asio::buffer(byte), redirectError(error));
             ++closedByPeer;
             co_return;
         }
--- a/src/vanilladyke/traffic/traffic_server.cpp
+++ b/src/vanilladyke/traffic/traffic_server.cpp
@@ -75,13 +75,13 @@
     for (;;) {
         Tcp::socket socket(m_state.context);
         ErrorCode error;
-        co_await m_callers.async_accept(socket, into(error));
+        co_await m_callers.async_accept(socket, redirectError(error));
         if (!m_callers.is_open()) {
             co_return;
         }
         if (error) {
             asio::steady_timer pause(m_state.context, AcceptRetryDelay);
-            co_await pause.async_wait(into(error));
+            co_await pause.async_wait(redirectError(error));
             continue;
         }
         ErrorCode ignored;
@@ -100,13 +100,13 @@
     for (;;) {
         Tcp::socket socket(m_state.context);
         ErrorCode error;
-        co_await acceptor.async_accept(socket, into(error));
+        co_await acceptor.async_accept(socket, redirectError(error));
         if (!acceptor.is_open()) {
             co_return;
         }
         if (error) {
             asio::steady_timer pause(m_state.context, AcceptRetryDelay);
-            co_await pause.async_wait(into(error));
+            co_await pause.async_wait(redirectError(error));
             continue;
         }
         asio::co_spawn(m_state.context, serveStatus(std::move(socket)), asio::detached);
@@ -127,7 +127,7 @@
         deadlineTimer->dueAt = MonotonicClock::now() + StatusTimeout;
         http::request<http::empty_body> request;
         ErrorCode error;
-        co_await http::async_read(socket, buffer, request, into(error));
+        co_await http::async_read(socket, buffer, request, redirectError(error));
         if (error) {
             break;
         }
@@ -150,7 +150,7 @@
                              + std::string(http::obsolete_reason(static_cast<http::status>(status)))
                              + "\r\nContent-Type: text/plain\r\nContent-Length: "
                              + std::to_string(body.size()) + "\r\n\r\n" + body;
-        co_await asio::async_write(socket, asio::buffer(answer), into(error));
+        co_await asio::async_write(socket, asio::buffer(answer), redirectError(error));
         if (error) {
             break;
         }
