--- a/include/vanilladyke/traffic/dialect.hpp
+++ b/include/vanilladyke/traffic/dialect.hpp
@@ -42,10 +42,10 @@
 };
 
 /// @brief Headers that this node adds when it forwards a request to a backend server.
-struct SendTerms
+struct BackendRequestOptions
 {
     TimePoint deadline;
-    EngineId expected;         ///< a server with another id refuses the request
+    EngineId expectedEngine;   ///< a server with another id refuses the request
     std::uint64_t weights = 0; ///< a server on another version refuses the request; 0: any version
     CustomerId customer;       ///< empty if the request needs no key
     int urgency = 5;           ///< 0 (first) to 9 (last)
@@ -97,7 +97,8 @@
 {
     std::function<Outcome<CallerRequest, BadHead>(const HttpFields &fields, TimePoint now)>
             readCaller;
-    std::function<void(const SendTerms &terms, TimePoint now, std::string *lines)> writeTerms;
+    std::function<void(const BackendRequestOptions &options, TimePoint now, std::string *lines)>
+            writeOptions;
     std::function<AnswerHead(int status, const HttpFields &fields)> readAnswer;
 };
 
--- a/include/vanilladyke/traffic/exchange.hpp
+++ b/include/vanilladyke/traffic/exchange.hpp
@@ -79,7 +79,7 @@
     /// request may be sent there.
     [[nodiscard]] std::optional<TimePoint> retryTimeIfTooLate(const BackendChoice &choice,
                                                               TimePoint now) const;
-    [[nodiscard]] SendTerms termsFor(const BackendChoice &choice) const;
+    [[nodiscard]] BackendRequestOptions optionsFor(const BackendChoice &choice) const;
     /// Waits until a server may be available. @return false if there is no time left for that
     [[nodiscard]] asio::awaitable<bool> waitForBackend(const NoBackend &none);
     [[nodiscard]] asio::awaitable<BackendConnectionPtr> connectionTo(const BackendChoice &choice);
--- a/src/vanilladyke/traffic/exchange.cpp
+++ b/src/vanilladyke/traffic/exchange.cpp
@@ -253,34 +253,34 @@
     return refusedUntil({m_route->targetLatency, m_deadline, most}, choice.waits, now);
 }
 
-SendTerms Exchange::termsFor(const BackendChoice &choice) const
+BackendRequestOptions Exchange::optionsFor(const BackendChoice &choice) const
 {
-    SendTerms terms;
-    terms.deadline = m_deadline;
-    terms.expected = choice.backend.id;
-    terms.weights = choice.weights;
+    BackendRequestOptions options;
+    options.deadline = m_deadline;
+    options.expectedEngine = choice.backend.id;
+    options.weights = choice.weights;
     if (m_customer != nullptr) {
-        terms.customer = m_customer->id;
+        options.customer = m_customer->id;
     }
-    terms.urgency = urgency();
-    terms.resumeAfter = m_resumeAfter;
+    options.urgency = urgency();
+    options.resumeAfter = m_resumeAfter;
     if (m_request.parts.empty()) {
-        return terms;
+        return options;
     }
     if (choice.weights == 0) {
         // Cached work is valid for one version of the weights only. The version is unknown here, so
         // the salt is unique and nothing is shared.
-        terms.cacheSalt = "alone-" + m_request.id;
-        return terms;
+        options.cacheSalt = "alone-" + m_request.id;
+        return options;
     }
     const bool isIsolated = m_customer != nullptr && m_customer->isIsolated;
-    terms.cacheSalt =
+    options.cacheSalt =
             cacheSalt(m_request.model, choice.weights, isIsolated ? m_customer->id : CustomerId());
-    terms.fetchFrom = choice.fetchFrom;
+    options.fetchFrom = choice.fetchFrom;
     // Set only if the store lacks the shared part. Saving the request's own part as well would
     // evict shared parts.
-    terms.saveTo = choice.saveTo;
-    return terms;
+    options.saveTo = choice.saveTo;
+    return options;
 }
 
 asio::awaitable<bool> Exchange::waitForBackend(const NoBackend &none)
@@ -482,7 +482,7 @@
     std::string &head = connection->head;
     head = m_request.method + " " + m_request.target + " HTTP/1.1\r\nHost: " + m_request.host
            + "\r\n" + m_request.passedOn;
-    m_state.dialect.writeTerms(termsFor(choice), now, &head);
+    m_state.dialect.writeOptions(optionsFor(choice), now, &head);
     const bool hasBody = !m_request.body.empty();
     if (hasBody || (m_request.method != "GET" && m_request.method != "HEAD")) {
         head += "Content-Length: " + std::to_string(m_request.body.size()) + "\r\n";
--- a/src/vanilladyke/traffic/exchange_test.cpp
+++ b/src/vanilladyke/traffic/exchange_test.cpp
@@ -90,11 +90,12 @@
         }
         return request;
     };
-    dialect.writeTerms = [](const SendTerms &terms, TimePoint /*now*/, std::string *lines) {
-        *lines += "Expect-Engine: " + terms.expected.str() + "\r\nCustomer: " + terms.customer.str()
-                  + "\r\n";
-        if (!terms.resumeAfter.empty()) {
-            *lines += "Resume: " + terms.resumeAfter + "\r\n";
+    dialect.writeOptions = [](const BackendRequestOptions &options, TimePoint /*now*/,
+                              std::string *lines) {
+        *lines += "Expect-Engine: " + options.expectedEngine.str()
+                  + "\r\nCustomer: " + options.customer.str() + "\r\n";
+        if (!options.resumeAfter.empty()) {
+            *lines += "Resume: " + options.resumeAfter + "\r\n";
         }
     };
     dialect.readAnswer = [](int status, const HttpFields &fields) {
