--- a/include/vanilladyke/traffic/dialect.hpp
+++ b/include/vanilladyke/traffic/dialect.hpp
@@ -83,7 +83,7 @@
 };
 
 /// @brief A request whose headers can't be parsed, with the reason.
-struct BadHead
+struct MalformedHead
 {
     std::string reason;
 };
@@ -95,7 +95,7 @@
 /// Holds functions, so that the library that defines the headers stays independent of this one.
 struct Dialect
 {
-    std::function<Outcome<CallerRequest, BadHead>(const HttpFields &fields, TimePoint now)>
+    std::function<Outcome<CallerRequest, MalformedHead>(const HttpFields &fields, TimePoint now)>
             readCaller;
     std::function<void(const BackendRequestOptions &options, TimePoint now, std::string *lines)>
             writeOptions;
--- a/src/vanilladyke/traffic/exchange_test.cpp
+++ b/src/vanilladyke/traffic/exchange_test.cpp
@@ -78,7 +78,7 @@
 {
     Dialect dialect;
     dialect.readCaller = [](const HttpFields &fields,
-                            TimePoint now) -> Outcome<CallerRequest, BadHead> {
+                            TimePoint now) -> Outcome<CallerRequest, MalformedHead> {
         CallerRequest request;
         request.arrived = now;
         request.host = std::string(fields["Host"]);
