--- a/include/vanilladyke/traffic/dialect.hpp
+++ b/include/vanilladyke/traffic/dialect.hpp
@@ -96,10 +96,10 @@
 struct Dialect
 {
     std::function<Outcome<CallerRequest, MalformedHead>(const HttpFields &fields, TimePoint now)>
-            readCaller;
+            parseRequest;
     std::function<void(const BackendRequestOptions &options, TimePoint now, std::string *lines)>
             writeOptions;
-    std::function<AnswerHead(int status, const HttpFields &fields)> readAnswer;
+    std::function<AnswerHead(int status, const HttpFields &fields)> parseAnswer;
 };
 
 } // namespace vanilladyke
--- a/src/vanilladyke/traffic/caller_session.cpp
+++ b/src/vanilladyke/traffic/caller_session.cpp
@@ -141,7 +141,7 @@
         }
         co_return false;
     }
-    auto read = m_state.dialect.readCaller(parser.get().base(), MonotonicClock::now());
+    auto read = m_state.dialect.parseRequest(parser.get().base(), MonotonicClock::now());
     if (!read) {
         LogEvent("bad_request", Severity::Warning).field("reason", read.error().reason);
         co_await rejectRequest(400);
--- a/src/vanilladyke/traffic/exchange.cpp
+++ b/src/vanilladyke/traffic/exchange.cpp
@@ -521,7 +521,7 @@
         if (error) {
             co_return TryResult::Lost;
         }
-        const AnswerHead head = m_state.dialect.readAnswer(
+        const AnswerHead head = m_state.dialect.parseAnswer(
                 static_cast<int>(parser.get().result_int()), parser.get().base());
         m_status = head.status;
         if (head.status < 200) {
--- a/src/vanilladyke/traffic/exchange_test.cpp
+++ b/src/vanilladyke/traffic/exchange_test.cpp
@@ -77,8 +77,8 @@
 Dialect testDialect()
 {
     Dialect dialect;
-    dialect.readCaller = [](const HttpFields &fields,
-                            TimePoint now) -> Outcome<CallerRequest, MalformedHead> {
+    dialect.parseRequest = [](const HttpFields &fields,
+                              TimePoint now) -> Outcome<CallerRequest, MalformedHead> {
         CallerRequest request;
         request.arrived = now;
         request.host = std::string(fields["Host"]);
@@ -98,7 +98,7 @@
             *lines += "Resume: " + options.resumeAfter + "\r\n";
         }
     };
-    dialect.readAnswer = [](int status, const HttpFields &fields) {
+    dialect.parseAnswer = [](int status, const HttpFields &fields) {
         AnswerHead head;
         head.status = status;
         head.reason = "R";
