--- a/include/vanilladyke/traffic/dialect.hpp
+++ b/include/vanilladyke/traffic/dialect.hpp
@@ -33,10 +33,10 @@
     std::optional<std::string> key;
     ModelId model; ///< empty if the request specifies none
     std::uint64_t promptTokens = 0;
-    std::uint64_t mostOutputTokens = 0;
+    std::uint64_t maxOutputTokens = 0;
     std::vector<PromptPart> parts;
-    std::string lastEventId; ///< the caller resumes a stream after this event
-    std::string passedOn;    ///< header lines to forward unchanged, each with its line end
+    std::string lastEventId;      ///< the caller resumes a stream after this event
+    std::string forwardedHeaders; ///< header lines to forward unchanged, each with its line end
     std::string body;
     bool keepsConnection = true;
 };
@@ -73,13 +73,13 @@
     bool isNotExecuted = false; ///< the server states that it did not run the request
     /// The body has a content coding, so it is not what the server itself sent.
     bool isEncoded = false;
-    bool closes = false;               ///< the server closes the connection after this answer
+    bool closesConnection = false;     ///< the server closes the connection after this answer
     std::optional<Duration> keepAlive; ///< time for which the server keeps an idle connection open
     std::optional<std::uint64_t> weights;
     std::optional<ReportedLoad> load;
     /// Rate limit of the server over all nodes, in requests per second; none if it reports none.
     std::optional<double> requestsPerSecond;
-    std::string passedOn; ///< header lines to forward to the caller, each with its line end
+    std::string forwardedHeaders; ///< header lines to forward to the caller, each with its line end
 };
 
 /// @brief A request whose headers can't be parsed, with the reason.
--- a/src/vanilladyke/traffic/exchange.cpp
+++ b/src/vanilladyke/traffic/exchange.cpp
@@ -481,7 +481,7 @@
     const TimePoint now = MonotonicClock::now();
     std::string &head = connection->head;
     head = m_request.method + " " + m_request.target + " HTTP/1.1\r\nHost: " + m_request.host
-           + "\r\n" + m_request.passedOn;
+           + "\r\n" + m_request.forwardedHeaders;
     m_state.dialect.writeOptions(optionsFor(choice), now, &head);
     const bool hasBody = !m_request.body.empty();
     if (hasBody || (m_request.method != "GET" && m_request.method != "HEAD")) {
--- a/src/vanilladyke/traffic/exchange_answers.cpp
+++ b/src/vanilladyke/traffic/exchange_answers.cpp
@@ -53,7 +53,8 @@
                                  const AnswerHead &head)
 {
     const bool isClean = !connection->isWriting && connection->buffer.size() == 0
-                         && parser.get().keep_alive() && !head.closes && !parser.get().need_eof();
+                         && parser.get().keep_alive() && !head.closesConnection
+                         && !parser.get().need_eof();
     if (isClean && connection->isOpen) {
         m_state.pool.putBack(connection, head.keepAlive, MonotonicClock::now());
     } else {
@@ -126,8 +127,8 @@
         std::string out;
         if (!whole.empty() || isLast) {
             if (!m_headWritten) {
-                out = statusLine(head.status, head.reason) + head.passedOn + m_sink.connectionLine()
-                      + "Transfer-Encoding: chunked\r\n\r\n";
+                out = statusLine(head.status, head.reason) + head.forwardedHeaders
+                      + m_sink.connectionLine() + "Transfer-Encoding: chunked\r\n\r\n";
                 m_headWritten = true;
             }
             if (!whole.empty()) {
@@ -153,7 +154,7 @@
 {
     const bool hasNoBody = head.status == 204 || head.status == 304;
     std::string out =
-            statusLine(head.status, head.reason) + head.passedOn + m_sink.connectionLine();
+            statusLine(head.status, head.reason) + head.forwardedHeaders + m_sink.connectionLine();
     if (!hasNoBody) {
         out += "Content-Length: " + std::to_string(body.size()) + "\r\n";
     }
--- a/src/vanilladyke/traffic/exchange_test.cpp
+++ b/src/vanilladyke/traffic/exchange_test.cpp
@@ -84,7 +84,7 @@
         request.host = std::string(fields["Host"]);
         request.id = std::string(fields["Id"]);
         request.model = ModelId(std::string(fields["Model"]));
-        request.passedOn = "Id: " + request.id + "\r\n";
+        request.forwardedHeaders = "Id: " + request.id + "\r\n";
         if (fields.count("Key") > 0) {
             request.key = std::string(fields["Key"]);
         }
@@ -106,7 +106,7 @@
         head.isStamped = fields.count("Stamp") > 0;
         head.isNotExecuted = fields.count("Refused") > 0;
         head.isEncoded = fields.count("Content-Encoding") > 0;
-        head.passedOn = "Stamp: " + std::string(fields["Stamp"]) + "\r\n";
+        head.forwardedHeaders = "Stamp: " + std::string(fields["Stamp"]) + "\r\n";
         return head;
     };
     return dialect;
