--- a/include/vanilladyke/traffic/caller_session.hpp
+++ b/include/vanilladyke/traffic/caller_session.hpp
@@ -14,7 +14,7 @@
 
     void start();
     /// @brief Closes the connection, after the current answer if a request is being handled.
-    void finish();
+    void closeWhenIdle();
     [[nodiscard]] bool isBusy() const { return m_exchange != nullptr; }
 
 private:
--- a/include/vanilladyke/traffic/traffic_server.hpp
+++ b/include/vanilladyke/traffic/traffic_server.hpp
@@ -26,9 +26,9 @@
     /// @brief Starts listening. @return the error with its address; none on success
     [[nodiscard]] std::optional<std::string> listen();
     /// @brief Reports not ready from now on and closes each connection after its next answer.
-    void announceStop();
+    void beginDrain();
     /// @brief Stops accepting connections and closes those without a request in progress.
-    void leave();
+    void stopAccepting();
     [[nodiscard]] bool isIdle() const { return m_state.openExchanges->empty(); }
     /// @brief Whether the readiness probe succeeds.
     [[nodiscard]] bool isReady() const;
--- a/include/vanilladyke/traffic/traffic_state.hpp
+++ b/include/vanilladyke/traffic/traffic_state.hpp
@@ -81,9 +81,9 @@
     Metrics metrics;
     std::shared_ptr<const RouteTable> table; ///< null until a configuration is received
     std::size_t nodes = 1;                   ///< number of nodes that share the retry budget
-    bool isStopping = false;                 ///< reports not ready; requests are still served
+    bool isDraining = false;                 ///< reports not ready; requests are still served
     /// Refuses new requests, because they might not complete before the process exits.
-    bool isLeaving = false;
+    bool isShuttingDown = false;
     /// Age of the latest freshness proof of the configuration, on a clock that includes time in
     /// suspension.
     std::function<Duration()> configAge = [] { return Duration::max(); };
--- a/src/vanilladyke/app/node_command.cpp
+++ b/src/vanilladyke/app/node_command.cpp
@@ -160,7 +160,7 @@
     {
         LogEvent("stopping").field("signal", signal).field("open", m_traffic.openExchanges->size());
         m_stopAt = MonotonicClock::now();
-        m_server.announceStop();
+        m_server.beginDrain();
         asio::post(m_controlContext, [this] { m_control.handOver(); });
         stepStop();
     }
@@ -205,7 +205,7 @@
     {
         const TimePoint now = MonotonicClock::now();
         if (now - m_stopAt >= BalancerLag) {
-            m_server.leave();
+            m_server.stopAccepting();
         }
         const bool isDone = now - m_stopAt >= BalancerLag && m_server.isIdle();
         if (isDone || now - m_stopAt >= m_settings.grace - KillMargin) {
--- a/src/vanilladyke/traffic/caller_session.cpp
+++ b/src/vanilladyke/traffic/caller_session.cpp
@@ -55,7 +55,7 @@
             asio::detached);
 }
 
-void CallerSession::finish()
+void CallerSession::closeWhenIdle()
 {
     m_keepsOpen = false;
     if (!isBusy() && !m_isReading) {
@@ -77,7 +77,7 @@
         if (!hasRequest) {
             break;
         }
-        m_keepsOpen = m_keepsOpen && request.keepsConnection && !m_state.isStopping;
+        m_keepsOpen = m_keepsOpen && request.keepsConnection && !m_state.isDraining;
         m_exchange = std::make_shared<Exchange>(m_state, std::move(request), *this);
         watchForClose();
         const std::shared_ptr<Exchange> exchange = m_exchange;
@@ -195,7 +195,7 @@
 
 std::string CallerSession::connectionLine()
 {
-    m_keepsOpen = m_keepsOpen && !m_state.isStopping;
+    m_keepsOpen = m_keepsOpen && !m_state.isDraining;
     return m_keepsOpen ? std::string() : "Connection: close\r\n";
 }
 
--- a/src/vanilladyke/traffic/exchange.cpp
+++ b/src/vanilladyke/traffic/exchange.cpp
@@ -161,7 +161,7 @@
 std::optional<Refusal> Exchange::admit()
 {
     const TimePoint now = m_request.arrived;
-    if (m_state.isLeaving) {
+    if (m_state.isShuttingDown) {
         return Refusal{RefusalReason::ShuttingDown, "node is stopping", Ran::No, now};
     }
     // The next freshness proof of the configuration is due within about a second.
--- a/src/vanilladyke/traffic/traffic_server.cpp
+++ b/src/vanilladyke/traffic/traffic_server.cpp
@@ -64,7 +64,7 @@
 
 bool TrafficServer::isReady() const
 {
-    if (m_state.isStopping || m_state.table == nullptr || m_state.book.size() == 0) {
+    if (m_state.isDraining || m_state.table == nullptr || m_state.book.size() == 0) {
         return false;
     }
     return !m_state.table->needsKeys() || m_state.isFresh();
@@ -157,19 +157,19 @@
     }
 }
 
-void TrafficServer::announceStop()
+void TrafficServer::beginDrain()
 {
-    m_state.isStopping = true;
+    m_state.isDraining = true;
 }
 
-void TrafficServer::leave()
+void TrafficServer::stopAccepting()
 {
-    m_state.isLeaving = true;
+    m_state.isShuttingDown = true;
     ErrorCode ignored;
     m_callers.close(ignored);
     for (const auto &each : m_sessions) {
         if (const auto session = each.lock()) {
-            session->finish();
+            session->closeWhenIdle();
         }
     }
 }
