--- a/include/vanilladyke/traffic/traffic_state.hpp
+++ b/include/vanilladyke/traffic/traffic_state.hpp
@@ -64,7 +64,7 @@
 
     /// @brief Records when weights were announced, and logs it if it changes the recorded date.
     /// @param by source of the date, for the log
-    void dateWeights(const NamedWeights &weights, DateGrounds grounds, std::string_view by);
+    void recordWeightsDate(const NamedWeights &weights, DateGrounds grounds, std::string_view by);
 
     asio::io_context &context;
     Ticker ticker;
--- a/src/vanilladyke/traffic/traffic_state.cpp
+++ b/src/vanilladyke/traffic/traffic_state.cpp
@@ -4,8 +4,8 @@
 
 namespace vanilladyke {
 
-void TrafficState::dateWeights(const NamedWeights &weights, DateGrounds grounds,
-                               std::string_view by)
+void TrafficState::recordWeightsDate(const NamedWeights &weights, DateGrounds grounds,
+                                     std::string_view by)
 {
     const TimePoint now = MonotonicClock::now();
     if (!book.weightsNamed(weights, grounds, now)) {
