--- a/include/vanilladyke/traffic/traffic_state.hpp
+++ b/include/vanilladyke/traffic/traffic_state.hpp
@@ -92,8 +92,9 @@
             std::make_shared<std::unordered_set<Exchange *>>();
     /// Offset of the first operator record that this node has not read.
     std::function<std::uint64_t()> operatorNext = [] { return std::uint64_t{0}; };
-    std::function<void(const std::vector<Endpoint> &)> peersChanged; ///< called with the new list
-    std::function<void()> tellPeers = [] {}; ///< sends urgent updates to other nodes without delay
+    std::function<void(const std::vector<Endpoint> &)> onPeersChanged; ///< called with the new list
+    std::function<void()> notifyPeers = [] {
+    }; ///< sends urgent updates to other nodes without delay
 };
 
 } // namespace vanilladyke
--- a/src/vanilladyke/app/node_command.cpp
+++ b/src/vanilladyke/app/node_command.cpp
@@ -126,10 +126,10 @@
     /// What this node and others tell each other, across both threads.
     void connectNodes()
     {
-        m_traffic.peersChanged = [this](const std::vector<Endpoint> &peers) {
+        m_traffic.onPeersChanged = [this](const std::vector<Endpoint> &peers) {
             m_sharing.setPeers(peers);
         };
-        m_traffic.tellPeers = [this] { m_sharing.tellSoon(); };
+        m_traffic.notifyPeers = [this] { m_sharing.tellSoon(); };
         m_sharing.heardNode = [this](std::uint64_t node, std::uint64_t centre, Endpoint endpoint) {
             asio::post(m_controlContext, [this, node, centre, endpoint = std::move(endpoint)] {
                 m_follower.heardNode(node, centre, endpoint);
--- a/src/vanilladyke/node/control_plane.cpp
+++ b/src/vanilladyke/node/control_plane.cpp
@@ -44,13 +44,13 @@
     news.loading = [this](const EngineId &id, Duration span) {
         tell([id, span](TrafficState &traffic) {
             traffic.book.loading(id, MonotonicClock::now() + span);
-            traffic.tellPeers();
+            traffic.notifyPeers();
         });
     };
     news.loaded = [this](const EngineId &id, const ModelId &model, std::uint64_t version) {
         tell([id, model, version](TrafficState &traffic) {
             traffic.book.loaded(id, model, version, MonotonicClock::now());
-            traffic.tellPeers();
+            traffic.notifyPeers();
         });
     };
     news.aged = [this](const WeightsAge &weights) {
@@ -199,8 +199,8 @@
     tell([terms, peers = std::move(peers)](TrafficState &traffic) {
         traffic.nodes = terms.nodes;
         traffic.budget.setTerms(terms);
-        if (traffic.peersChanged) {
-            traffic.peersChanged(peers);
+        if (traffic.onPeersChanged) {
+            traffic.onPeersChanged(peers);
         }
     });
 }
--- a/src/vanilladyke/traffic/exchange.cpp
+++ b/src/vanilladyke/traffic/exchange.cpp
@@ -349,7 +349,7 @@
     m_state.book.sent(choice, asked, now);
     if (m_state.book.limitOf(choice.backend.id)) {
         m_state.metrics.count("requests_to_limited_engines_total");
-        m_state.tellPeers(); // all nodes share this limit
+        m_state.notifyPeers(); // all nodes share this limit
     }
     if (choice.saveTo) {
         const std::string salt = cacheSalt(asked.model, choice.weights, asked.isolated);
@@ -419,7 +419,7 @@
     if (m_state.quarantine.ended(name, customerHash(), engineEnd)) {
         withdrawHeld(m_state, name);
     }
-    m_state.tellPeers();
+    m_state.notifyPeers();
 }
 
 void Exchange::withdrawHeld(TrafficState &state, const WorkDigest &held)
@@ -462,7 +462,7 @@
         return;
     }
     LogEvent("request_cleared").field("id", m_request.id).field("digest", digest()->str());
-    m_state.tellPeers();
+    m_state.notifyPeers();
 }
 
 std::optional<WorkDigest> Exchange::digest() const
@@ -599,7 +599,7 @@
                 .field("named", head.requestsPerSecond.has_value())
                 .field("by", "answer")
                 .field("id", m_request.id);
-        m_state.tellPeers();
+        m_state.notifyPeers();
     }
     if (head.weights && !m_request.model.empty()) {
         m_state.book.sawWeights(id, m_request.model, *head.weights);
