--- a/include/vanilladyke/traffic/traffic_state.hpp
+++ b/include/vanilladyke/traffic/traffic_state.hpp
@@ -49,7 +49,7 @@
         , livenessProbe(ioContext, pool)
         , dialect(std::move(wireDialect))
         , settings(std::move(fixed))
-        , book(settings.dataCentre, settings.rates, settings.self)
+        , tracker(settings.dataCentre, settings.rates, settings.self)
         , quarantine(settings.self)
         , random(seed)
     {
@@ -72,7 +72,7 @@
     EngineLivenessProbe livenessProbe;
     Dialect dialect;
     TrafficSettings settings;
-    BackendBook book;
+    BackendBook tracker;
     KeptCacheView kept;
     SecondSendBudget budget;
     WorkDigester digester;
--- a/src/vanilladyke/node/control_plane.cpp
+++ b/src/vanilladyke/node/control_plane.cpp
@@ -43,13 +43,13 @@
     WeightsNews news;
     news.loading = [this](const EngineId &id, Duration span) {
         tell([id, span](TrafficState &traffic) {
-            traffic.book.loading(id, MonotonicClock::now() + span);
+            traffic.tracker.loading(id, MonotonicClock::now() + span);
             traffic.notifyPeers();
         });
     };
     news.loaded = [this](const EngineId &id, const ModelId &model, std::uint64_t version) {
         tell([id, model, version](TrafficState &traffic) {
-            traffic.book.loaded(id, model, version, MonotonicClock::now());
+            traffic.tracker.loaded(id, model, version, MonotonicClock::now());
             traffic.notifyPeers();
         });
     };
@@ -111,7 +111,7 @@
     auto table = std::make_shared<const RouteTable>(std::move(config));
     tell([table](TrafficState &traffic) {
         traffic.table = table;
-        traffic.book.setTransferRates(table->transferRates());
+        traffic.tracker.setTransferRates(table->transferRates());
         traffic.kept.setStores(table->keptStores());
     });
     std::vector<Endpoint> stores;
@@ -234,8 +234,8 @@
 void ControlPlane::publishNow()
 {
     tell([serving = m_roster.serving()](TrafficState &traffic) {
-        traffic.book.setBackends(serving);
-        traffic.pool.tidy([&](const EngineId &id) { return traffic.book.knows(id); },
+        traffic.tracker.setBackends(serving);
+        traffic.pool.tidy([&](const EngineId &id) { return traffic.tracker.knows(id); },
                           MonotonicClock::now());
     });
 }
--- a/src/vanilladyke/node/load_sharing.cpp
+++ b/src/vanilladyke/node/load_sharing.cpp
@@ -153,14 +153,14 @@
     const Duration spacing =
             std::max<Duration>(Interval, std::chrono::seconds(peers) / MostSendsPerSecond);
     const bool hasNews =
-            m_hasUrgentNews || m_state.book.hasPlacements() || m_state.quarantine.hasNews();
+            m_hasUrgentNews || m_state.tracker.hasPlacements() || m_state.quarantine.hasNews();
     const bool isUrgent = hasNews && now - m_toldAt >= spacing;
     if (now < m_nextAt && !isUrgent) {
         return;
     }
     const std::size_t stretch = std::max<std::size_t>(1, (peers + 1) / NodesAtFullRate);
     m_nextAt = now + Interval * stretch;
-    m_state.book.forgetSilentPeers(now);
+    m_state.tracker.forgetSilentPeers(now);
     forgetSilent(now);
     tell(now);
 }
@@ -182,11 +182,11 @@
     message.set_operator_next(m_state.operatorNext());
     if (now >= m_weightsToldAt + TellWeightsEvery) {
         m_weightsToldAt = now;
-        for (const NamedWeights &each : m_state.book.namedWeights()) {
+        for (const NamedWeights &each : m_state.tracker.namedWeights()) {
             write(each, now, message.add_named_weights());
         }
     }
-    for (const BackendLoadNews &each : m_state.book.ownLoad(MostBackends, now)) {
+    for (const BackendLoadNews &each : m_state.tracker.ownLoad(MostBackends, now)) {
         wire::BackendLoad *load = message.add_backends();
         load->set_backend(each.backend);
         const bool isIdle = each.waiting.total() <= Millis::zero();
@@ -197,7 +197,7 @@
         load->set_loading_ms(millis(each.loading));
         load->set_weights(each.weights);
     }
-    for (const PlacementNews &each : m_state.book.takePlacements()) {
+    for (const PlacementNews &each : m_state.tracker.takePlacements()) {
         wire::Placement *placement = message.add_placements();
         placement->set_part(each.part);
         placement->set_backend(each.backend);
@@ -211,7 +211,7 @@
          m_state.quarantine.toTell(m_routes.size() + 1, MostQuarantined, now, m_state.random)) {
         write(each, message.add_quarantined());
     }
-    std::vector<LimitNews> limits = m_state.book.ownLimits(now);
+    std::vector<LimitNews> limits = m_state.tracker.ownLimits(now);
     limits.resize(std::min(limits.size(), MostLimits));
     for (const LimitNews &each : limits) {
         write(each, message.add_limits());
@@ -283,7 +283,7 @@
         news.push_back({load.backend(), waiting, static_cast<int>(load.in_flight()),
                         std::chrono::milliseconds(load.loading_ms()), load.weights()});
     }
-    m_state.book.heardLoad(message.node(), news, now);
+    m_state.tracker.heardLoad(message.node(), news, now);
     std::vector<PlacementNews> placements;
     placements.reserve(static_cast<std::size_t>(message.placements_size()));
     for (const wire::Placement &each : message.placements()) {
@@ -293,7 +293,7 @@
             m_state.kept.toldSaved(each.saved(), now);
         }
     }
-    m_state.book.heardPlacements(placements, now);
+    m_state.tracker.heardPlacements(placements, now);
     if (message.limits_size() > 0) {
         takeLimits(message, now);
     }
@@ -309,8 +309,8 @@
     for (const wire::BackendLimit &each : message.limits()) {
         news.push_back(read(each));
     }
-    for (const EngineId &changed : m_state.book.heardLimits(message.node(), news, now)) {
-        const std::optional<double> limit = m_state.book.limitOf(changed);
+    for (const EngineId &changed : m_state.tracker.heardLimits(message.node(), news, now)) {
+        const std::optional<double> limit = m_state.tracker.limitOf(changed);
         LogEvent("engine_limit")
                 .field("backend", changed.str())
                 .field("per_second", limit.value_or(0))
--- a/src/vanilladyke/traffic/exchange.cpp
+++ b/src/vanilladyke/traffic/exchange.cpp
@@ -120,7 +120,7 @@
         if (heldUntil(now)) {
             break;
         }
-        const auto choice = m_state.book.choose(query(), now);
+        const auto choice = m_state.tracker.choose(query(), now);
         if (!choice) {
             m_noBackend = choice.error();
             const bool mayBecomeAvailable = co_await waitForBackend(choice.error());
@@ -205,7 +205,7 @@
     BackendQuery result;
     result.service = m_service;
     result.model = m_request.model;
-    result.leastHomeTokens = m_state.book.leastHomeTokens(m_service);
+    result.leastHomeTokens = m_state.tracker.leastHomeTokens(m_service);
     result.target = m_route->targetLatency;
     result.urgency = urgency();
     result.exclude = m_triedEngines;
@@ -318,7 +318,7 @@
 {
     const BackendConnectionPtr connection = co_await connectionTo(choice);
     if (connection == nullptr) {
-        m_state.book.close(choice.backend.id, MonotonicClock::now());
+        m_state.tracker.close(choice.backend.id, MonotonicClock::now());
         m_state.metrics.count("backend_unreached_total");
         co_return TryResult::Unreached;
     }
@@ -327,7 +327,7 @@
         co_return TryResult::Unreached;
     }
     const TimePoint now = MonotonicClock::now();
-    if (!m_state.book.hasRoom(choice.backend.id, now)) {
+    if (!m_state.tracker.hasRoom(choice.backend.id, now)) {
         m_state.pool.putBack(connection, std::nullopt, now);
         m_state.metrics.count("limit_taken_meanwhile_total");
         co_return TryResult::Unreached;
@@ -344,10 +344,10 @@
     m_firstByteAt.reset();
     m_connection = connection;
     const BackendQuery asked = query();
-    const auto weightsEnd = m_state.book.weightsEnd(choice.backend.id, m_request.model);
+    const auto weightsEnd = m_state.tracker.weightsEnd(choice.backend.id, m_request.model);
     m_weightsTimeLeft = weightsEnd ? std::optional(*weightsEnd - now) : std::nullopt;
-    m_state.book.sent(choice, asked, now);
-    if (m_state.book.limitOf(choice.backend.id)) {
+    m_state.tracker.sent(choice, asked, now);
+    if (m_state.tracker.limitOf(choice.backend.id)) {
         m_state.metrics.count("requests_to_limited_engines_total");
         m_state.notifyPeers(); // all nodes share this limit
     }
@@ -361,7 +361,7 @@
     const bool failed = end == TryResult::Failed
                         || ((end == TryResult::Lost || end == TryResult::Interrupted)
                             && !m_callerDisconnected && !m_isWithdrawn);
-    m_state.book.ended(choice, begun, failed, MonotonicClock::now());
+    m_state.tracker.ended(choice, begun, failed, MonotonicClock::now());
     if (end == TryResult::Delivered || end == TryResult::Failed) {
         recordCompleteAnswer();
     }
@@ -372,7 +372,7 @@
         m_exchange.apply(ExchangeEvent::ConnectionLost);
     }
     if (end == TryResult::Lost && m_stalled) {
-        m_state.book.close(choice.backend.id, MonotonicClock::now());
+        m_state.tracker.close(choice.backend.id, MonotonicClock::now());
     }
     co_await recordEngineEnd(choice, end, now);
     if (end != TryResult::Delivered) {
@@ -403,7 +403,7 @@
                                && !m_isWithdrawn;
     const EngineId &engine = choice.backend.id;
     const bool shouldCheck = isCutByServer && m_state.settings.quarantines
-                             && m_state.digester.isReady() && m_state.book.knows(engine)
+                             && m_state.digester.isReady() && m_state.tracker.knows(engine)
                              && !m_state.livenessProbe.hadEndedBefore(engine, sentAt);
     if (!shouldCheck) {
         co_return;
@@ -567,7 +567,7 @@
             co_return TryResult::Lost;
         }
         m_firstByteAt = MonotonicClock::now();
-        m_state.book.began(choice, *m_firstByteAt);
+        m_state.tracker.began(choice, *m_firstByteAt);
         m_exchange.apply(ExchangeEvent::AnswerReceived);
         if (!sawStray) {
             releaseConnection(connection, parser, head);
@@ -590,9 +590,9 @@
         m_state.quarantine.engineLives(BackendBook::hashOf(id), now);
     }
     if (head.load) {
-        m_state.book.reported(id, head.load->running, head.load->waiting, now);
+        m_state.tracker.reported(id, head.load->running, head.load->waiting, now);
     }
-    if (head.status != 421 && m_state.book.limitNamed(id, head.requestsPerSecond, now)) {
+    if (head.status != 421 && m_state.tracker.limitNamed(id, head.requestsPerSecond, now)) {
         LogEvent("engine_limit")
                 .field("backend", id.str())
                 .field("per_second", head.requestsPerSecond.value_or(0))
@@ -602,16 +602,16 @@
         m_state.notifyPeers();
     }
     if (head.weights && !m_request.model.empty()) {
-        m_state.book.sawWeights(id, m_request.model, *head.weights);
+        m_state.tracker.sawWeights(id, m_request.model, *head.weights);
     }
     if (head.status == 421) {
         if (choice.weights != 0) {
-            m_state.book.doubtWeights(id, m_request.model, now);
+            m_state.tracker.doubtWeights(id, m_request.model, now);
         } else {
-            m_state.book.close(id, now);
+            m_state.tracker.close(id, now);
         }
     } else if (head.isNotExecuted) {
-        m_state.book.close(id, now);
+        m_state.tracker.close(id, now);
     }
 }
 
@@ -654,7 +654,7 @@
     if (!waits || !m_state.settings.withdraws) {
         return std::nullopt;
     }
-    const auto end = m_state.book.weightsEnd(m_choice->backend.id, m_request.model);
+    const auto end = m_state.tracker.weightsEnd(m_choice->backend.id, m_request.model);
     return end ? std::optional(*end - WithdrawMargin) : std::nullopt;
 }
 
@@ -714,7 +714,7 @@
     if (m_choice) {
         elsewhere.exclude.push_back(m_choice->backend.id);
     }
-    if (!m_state.book.choose(elsewhere, now)) {
+    if (!m_state.tracker.choose(elsewhere, now)) {
         return false;
     }
     m_hasReservedRetry = m_hasReservedRetry || m_state.budget.spend(m_service, now);
--- a/src/vanilladyke/traffic/exchange_answers.cpp
+++ b/src/vanilladyke/traffic/exchange_answers.cpp
@@ -108,7 +108,7 @@
         }
         if (!bytes.empty() && !m_firstByteAt) {
             m_firstByteAt = MonotonicClock::now();
-            m_state.book.began(choice, *m_firstByteAt);
+            m_state.tracker.began(choice, *m_firstByteAt);
             m_exchange.apply(ExchangeEvent::AnswerReceived);
         }
         if (!bytes.empty() && isRepeatable()) {
--- a/src/vanilladyke/traffic/exchange_test.cpp
+++ b/src/vanilladyke/traffic/exchange_test.cpp
@@ -190,7 +190,7 @@
         entry.dataCentre = DataCentreId(m_backends.size() == 1 ? "here" : "there");
         entry.slots = 8;
         m_entries.push_back(entry);
-        m_state.book.setBackends(m_entries);
+        m_state.tracker.setBackends(m_entries);
         return *m_backends.back();
     }
 
@@ -476,7 +476,7 @@
     Tcp::acceptor closed(m_context, Tcp::endpoint(asio::ip::address_v4::loopback(), 0));
     gone.endpoint = {"127.0.0.1", closed.local_endpoint().port()};
     closed.close();
-    m_state.book.setBackends({gone});
+    m_state.tracker.setBackends({gone});
     EXPECT_EQ(ask("1"), 503);
     EXPECT_NE(m_body.find(R"("ran":"no")"), std::string::npos);
 }
@@ -572,12 +572,12 @@
     for (std::size_t i = 0; i < m_entries.size(); ++i) {
         m_entries[i].weights[model] = i == 2 ? 2 : 1;
     }
-    m_state.book.setBackends(m_entries);
+    m_state.tracker.setBackends(m_entries);
     const TimePoint now = MonotonicClock::now();
     constexpr Duration Left = milliseconds(2500); // still available, but withdrawn from soon
     const TimePoint namedAt = now + Left - m_state.settings.rates.weightsTime;
-    m_state.book.weightsNamed({model, {2, namedAt, namedAt}}, DateGrounds::Read, now);
-    m_state.book.loading(EngineId("e3"), now + Left / 2);
+    m_state.tracker.weightsNamed({model, {2, namedAt, namedAt}}, DateGrounds::Read, now);
+    m_state.tracker.loading(EngineId("e3"), now + Left / 2);
     connect();
     send("POST /a/x HTTP/1.1\r\nHost: h\r\nKey: k\r\nModel: m\r\nId: 1\r\nContent-Length: "
          "2\r\n\r\nhi");
--- a/src/vanilladyke/traffic/traffic_server.cpp
+++ b/src/vanilladyke/traffic/traffic_server.cpp
@@ -64,7 +64,7 @@
 
 bool TrafficServer::isReady() const
 {
-    if (m_state.isDraining || m_state.table == nullptr || m_state.book.size() == 0) {
+    if (m_state.isDraining || m_state.table == nullptr || m_state.tracker.size() == 0) {
         return false;
     }
     return !m_state.table->needsKeys() || m_state.isFresh();
@@ -143,7 +143,7 @@
             m_state.metrics.gauge("requests_quarantined",
                                   static_cast<double>(m_state.quarantine.held(now)));
             m_state.metrics.gauge("engines_limited",
-                                  static_cast<double>(m_state.book.limitedEngines()));
+                                  static_cast<double>(m_state.tracker.limitedEngines()));
             body = m_state.metrics.text() + (metricsText ? metricsText() : std::string());
         }
         std::string answer = "HTTP/1.1 " + std::to_string(status) + " "
--- a/src/vanilladyke/traffic/traffic_state.cpp
+++ b/src/vanilladyke/traffic/traffic_state.cpp
@@ -8,7 +8,7 @@
                                      std::string_view by)
 {
     const TimePoint now = MonotonicClock::now();
-    if (!book.weightsNamed(weights, grounds, now)) {
+    if (!tracker.weightsNamed(weights, grounds, now)) {
         return;
     }
     LogEvent("weights_dated")
