--- a/include/vanilladyke/traffic/traffic_state.hpp
+++ b/include/vanilladyke/traffic/traffic_state.hpp
@@ -73,8 +73,8 @@
     Dialect dialect;
     TrafficSettings settings;
     BackendBook tracker;
-    KeptCacheView kept;
-    SecondSendBudget budget;
+    KeptCacheView keptCache;
+    SecondSendBudget retryBudget;
     WorkDigester digester;
     RequestQuarantine quarantine;
     Random random;
--- a/src/vanilladyke/node/control_plane.cpp
+++ b/src/vanilladyke/node/control_plane.cpp
@@ -112,7 +112,7 @@
     tell([table](TrafficState &traffic) {
         traffic.table = table;
         traffic.tracker.setTransferRates(table->transferRates());
-        traffic.kept.setStores(table->keptStores());
+        traffic.keptCache.setStores(table->keptStores());
     });
     std::vector<Endpoint> stores;
     for (const KeptStore &store : table->keptStores()) {
@@ -198,7 +198,7 @@
     terms.nodes = std::max<std::size_t>(peers.size(), 1);
     tell([terms, peers = std::move(peers)](TrafficState &traffic) {
         traffic.nodes = terms.nodes;
-        traffic.budget.setTerms(terms);
+        traffic.retryBudget.setTerms(terms);
         if (traffic.onPeersChanged) {
             traffic.onPeersChanged(peers);
         }
@@ -207,14 +207,14 @@
 
 void ControlPlane::keptCacheReset(const Endpoint &store, KeptCacheState state)
 {
-    tell([store, state](TrafficState &traffic) { traffic.kept.reset(store, state); });
+    tell([store, state](TrafficState &traffic) { traffic.keptCache.reset(store, state); });
 }
 
 void ControlPlane::keptCacheChanged(const Endpoint &store, std::vector<KeptPart> parts)
 {
     tell([store, parts = std::move(parts)](TrafficState &traffic) {
         for (const KeptPart &each : parts) {
-            traffic.kept.changed(store, each.salt, each.part, each.tokens);
+            traffic.keptCache.changed(store, each.salt, each.part, each.tokens);
         }
     });
 }
--- a/src/vanilladyke/node/load_sharing.cpp
+++ b/src/vanilladyke/node/load_sharing.cpp
@@ -141,7 +141,7 @@
 void LoadSharing::countPeers()
 {
     m_state.nodes = std::max(m_state.nodes, m_routes.size() + 1);
-    m_state.budget.setNodes(m_state.nodes);
+    m_state.retryBudget.setNodes(m_state.nodes);
 }
 
 void LoadSharing::step(TimePoint now)
@@ -290,7 +290,7 @@
         placements.push_back({each.part(), each.backend(), each.weights(), each.saved(),
                               each.written(), each.store(), each.wanted()});
         if (each.saved() != 0) {
-            m_state.kept.toldSaved(each.saved(), now);
+            m_state.keptCache.toldSaved(each.saved(), now);
         }
     }
     m_state.tracker.heardPlacements(placements, now);
--- a/src/vanilladyke/traffic/exchange.cpp
+++ b/src/vanilladyke/traffic/exchange.cpp
@@ -107,7 +107,7 @@
         }
         co_return co_await refuse(httpStatus(refusal->reason), toString(refusal->reason), after);
     }
-    m_state.budget.countRequest(m_service, m_request.arrived);
+    m_state.retryBudget.countRequest(m_service, m_request.arrived);
     m_state.ticker.add(m_deadlineTimer);
     m_deadlineTimer->onDue = [this] { onDeadline(); };
     setAnswerDeadline(std::nullopt);
@@ -209,8 +209,8 @@
     result.target = m_route->targetLatency;
     result.urgency = urgency();
     result.exclude = m_triedEngines;
-    const bool hasStore = m_state.settings.rates.usesKeptStore && m_state.kept.stores() > 0;
-    result.kept = hasStore ? &m_state.kept : nullptr;
+    const bool hasStore = m_state.settings.rates.usesKeptStore && m_state.keptCache.stores() > 0;
+    result.kept = hasStore ? &m_state.keptCache : nullptr;
     if (const ServiceSpec *service = m_table->service(m_service)) {
         result.memoryTokens = service->cacheTokens;
     }
@@ -332,7 +332,7 @@
         m_state.metrics.count("limit_taken_meanwhile_total");
         co_return TryResult::Unreached;
     }
-    if (m_sends > 0 && !m_hasReservedRetry && !m_state.budget.spend(m_service, now)) {
+    if (m_sends > 0 && !m_hasReservedRetry && !m_state.retryBudget.spend(m_service, now)) {
         m_state.pool.putBack(connection, std::nullopt, now);
         m_budgetSpent = true;
         co_return TryResult::Lost;
@@ -353,7 +353,7 @@
     }
     if (choice.saveTo) {
         const std::string salt = cacheSalt(asked.model, choice.weights, asked.isolated);
-        m_state.kept.toldSaved(KeptCacheView::keyOf(salt, asked.sharedPart), now);
+        m_state.keptCache.toldSaved(KeptCacheView::keyOf(salt, asked.sharedPart), now);
     }
     const TryResult end = co_await sendAndReceive(choice, connection);
     m_connection.reset();
@@ -717,7 +717,7 @@
     if (!m_state.tracker.choose(elsewhere, now)) {
         return false;
     }
-    m_hasReservedRetry = m_hasReservedRetry || m_state.budget.spend(m_service, now);
+    m_hasReservedRetry = m_hasReservedRetry || m_state.retryBudget.spend(m_service, now);
     return m_hasReservedRetry;
 }
 
--- a/src/vanilladyke/traffic/exchange_test.cpp
+++ b/src/vanilladyke/traffic/exchange_test.cpp
@@ -146,7 +146,7 @@
         , m_acceptor(m_context, Tcp::endpoint(asio::ip::address_v4::loopback(), 0))
     {
         m_state.configAge = [this] { return m_configAge; };
-        m_state.budget.setTerms({0.2, 1000, std::chrono::seconds(10), 1});
+        m_state.retryBudget.setTerms({0.2, 1000, std::chrono::seconds(10), 1});
         m_state.ticker.start();
         setRoute(RequestKind::Safe, false);
     }
@@ -541,7 +541,7 @@
 TEST_F(ExchangeTest, WaitsForASlowServerIfNoRetryIsAllowed)
 {
     setRoute(RequestKind::Stream, true, std::chrono::seconds(5), milliseconds(20));
-    m_state.budget.setTerms({0, 0, std::chrono::seconds(10), 1});
+    m_state.retryBudget.setTerms({0, 0, std::chrono::seconds(10), 1});
     auto &slow = addBackend([](const ReceivedRequest &received) {
         return ScriptedAnswer{streamHead(received.fields.at("Id")) + eventChunk(1) + "0\r\n\r\n",
                               NextAction::KeepOpen, milliseconds(600)};
@@ -614,7 +614,7 @@
 
 TEST_F(ExchangeTest, RetriesStayWithinTheBudget)
 {
-    m_state.budget.setTerms({0, 0, std::chrono::seconds(10), 1});
+    m_state.retryBudget.setTerms({0, 0, std::chrono::seconds(10), 1});
     addBackend(refused);
     auto &second = addBackend(good);
     EXPECT_EQ(ask("1"), 503);
