--- a/include/vanilladyke/traffic/traffic_state.hpp
+++ b/include/vanilladyke/traffic/traffic_state.hpp
@@ -31,11 +31,12 @@
     BackendRates rates;
     Duration keysValidFor = std::chrono::milliseconds(4500); ///< after their last freshness proof
     bool failsClosed = true; ///< refuses requests with a key without a valid freshness proof
-    bool withdraws = true;   ///< withdraws requests that have not begun when old weights expire
-    bool sendsAgain = true;  ///< retries repeatable requests on another server
-    bool resumes = true;     ///< resumes interrupted streams on another server
-    bool quarantines = true; ///< quarantines requests under which engines end
-    std::vector<WorkDigest> freedRequests; ///< released from quarantine by an operator
+    bool withdrawsRequests =
+            true;                ///< withdraws requests that have not begun when old weights expire
+    bool retriesRequests = true; ///< retries repeatable requests on another server
+    bool resumesStreams = true;  ///< resumes interrupted streams on another server
+    bool quarantinesRequests = true;          ///< quarantines requests under which engines end
+    std::vector<WorkDigest> releasedRequests; ///< released from quarantine by an operator
 };
 
 /// @brief State of the traffic thread, accessed from that thread only.
@@ -53,7 +54,7 @@
         , quarantine(settings.self)
         , random(seed)
     {
-        quarantine.setFreed(settings.freedRequests);
+        quarantine.setFreed(settings.releasedRequests);
     }
 
     /// @brief Whether the freshness proof of the configuration and keys is still valid.
--- a/src/vanilladyke/app/mechanism_switches.cpp
+++ b/src/vanilladyke/app/mechanism_switches.cpp
@@ -65,19 +65,19 @@
         settings->control.rollout.outPart = 1;
         break;
     case Mechanism::Withdrawal:
-        traffic.withdraws = false;
+        traffic.withdrawsRequests = false;
         break;
     case Mechanism::SecondSends:
-        traffic.sendsAgain = false;
+        traffic.retriesRequests = false;
         break;
     case Mechanism::Resumes:
-        traffic.resumes = false;
+        traffic.resumesStreams = false;
         break;
     case Mechanism::EngineLimits:
         traffic.rates.keepsLimits = false;
         break;
     case Mechanism::Quarantine:
-        traffic.quarantines = false;
+        traffic.quarantinesRequests = false;
         break;
     case Mechanism::SharedReading:
         settings->follow.asksOthers = false;
--- a/src/vanilladyke/app/node_command.cpp
+++ b/src/vanilladyke/app/node_command.cpp
@@ -194,7 +194,7 @@
                                 || settings->control.self != m_settings.control.self;
         m_traffic.settings.keysValidFor = settings->traffic.keysValidFor;
         m_traffic.settings.failsClosed = settings->traffic.failsClosed;
-        m_traffic.quarantine.setFreed(settings->traffic.freedRequests);
+        m_traffic.quarantine.setFreed(settings->traffic.releasedRequests);
         SecondSendTerms terms = settings->control.secondSends;
         terms.nodes = m_traffic.nodes;
         m_traffic.retryBudget.setTerms(terms);
--- a/src/vanilladyke/app/node_settings.cpp
+++ b/src/vanilladyke/app/node_settings.cpp
@@ -164,7 +164,7 @@
         });
     }
     readSwitches(reader, &settings);
-    readFreed(reader, &settings.traffic.freedRequests);
+    readFreed(reader, &settings.traffic.releasedRequests);
     reader.text("log_level", &settings.logLevel, false);
     if (!errors.empty()) {
         return failure(std::move(errors));
--- a/src/vanilladyke/traffic/exchange.cpp
+++ b/src/vanilladyke/traffic/exchange.cpp
@@ -402,7 +402,7 @@
                                && !m_callerDisconnected && !m_timedOut && !m_stalled
                                && !m_isWithdrawn;
     const EngineId &engine = choice.backend.id;
-    const bool shouldCheck = isCutByServer && m_state.settings.quarantines
+    const bool shouldCheck = isCutByServer && m_state.settings.quarantinesRequests
                              && m_state.digester.isReady() && m_state.tracker.knows(engine)
                              && !m_state.livenessProbe.hadEndedBefore(engine, sentAt);
     if (!shouldCheck) {
@@ -449,7 +449,7 @@
 
 std::optional<TimePoint> Exchange::heldUntil(TimePoint now) const
 {
-    const bool mayBeQuarantined = m_state.settings.quarantines && m_state.digester.isReady()
+    const bool mayBeQuarantined = m_state.settings.quarantinesRequests && m_state.digester.isReady()
                                   && m_state.quarantine.concerns(customerHash());
     return mayBeQuarantined ? m_state.quarantine.heldUntil(*digest(), now) : std::nullopt;
 }
@@ -635,10 +635,10 @@
         return true;
     }
     const bool isResume = end == TryResult::Interrupted;
-    if (isResume && (m_events.lastId().empty() || !m_state.settings.resumes)) {
+    if (isResume && (m_events.lastId().empty() || !m_state.settings.resumesStreams)) {
         return false;
     }
-    return (isResume || m_state.settings.sendsAgain) && isRepeatable()
+    return (isResume || m_state.settings.retriesRequests) && isRepeatable()
            && m_runs < m_route->mostBackends;
 }
 
@@ -651,7 +651,7 @@
 std::optional<TimePoint> Exchange::withdrawalTime() const
 {
     const bool waits = m_connection != nullptr && !m_firstByteAt && m_choice;
-    if (!waits || !m_state.settings.withdraws) {
+    if (!waits || !m_state.settings.withdrawsRequests) {
         return std::nullopt;
     }
     const auto end = m_state.tracker.weightsEnd(m_choice->backend.id, m_request.model);
@@ -706,7 +706,8 @@
 
 bool Exchange::reserveRetry(TimePoint now)
 {
-    const bool isAllowed = m_headWritten ? m_state.settings.resumes : m_state.settings.sendsAgain;
+    const bool isAllowed =
+            m_headWritten ? m_state.settings.resumesStreams : m_state.settings.retriesRequests;
     if (!isAllowed || m_sends >= maxSends() || m_runs >= m_route->mostBackends) {
         return false;
     }
