--- a/include/vanilladyke/traffic/exchange.hpp
+++ b/include/vanilladyke/traffic/exchange.hpp
@@ -43,7 +43,7 @@
     void callerDisconnected();
     /// @brief Withdraws a quarantined request from the engines where it waits: aborts every open
     /// exchange with this digest that has not received a first byte.
-    static void withdrawHeld(TrafficState &state, const WorkDigest &held);
+    static void withdrawQuarantined(TrafficState &state, const WorkDigest &held);
 
 private:
     /// With less time than this left, no try is started: it could not connect and get an answer.
--- a/src/vanilladyke/node/load_sharing.cpp
+++ b/src/vanilladyke/node/load_sharing.cpp
@@ -328,7 +328,7 @@
         news.push_back(read(each));
     }
     for (const WorkDigest &held : m_state.quarantine.heard(news, now)) {
-        Exchange::withdrawHeld(m_state, held);
+        Exchange::withdrawQuarantined(m_state, held);
     }
 }
 
--- a/src/vanilladyke/traffic/exchange.cpp
+++ b/src/vanilladyke/traffic/exchange.cpp
@@ -417,12 +417,12 @@
     const EngineEnd engineEnd{BackendBook::hashOf(engine), now, hadJustBegun};
     m_state.metrics.count("engine_ends_under_requests_total");
     if (m_state.quarantine.ended(name, customerHash(), engineEnd)) {
-        withdrawHeld(m_state, name);
+        withdrawQuarantined(m_state, name);
     }
     m_state.notifyPeers();
 }
 
-void Exchange::withdrawHeld(TrafficState &state, const WorkDigest &held)
+void Exchange::withdrawQuarantined(TrafficState &state, const WorkDigest &held)
 {
     int withdrawn = 0;
     for (Exchange *const each : *state.openExchanges) {
