--- a/include/vanilladyke/traffic/backend_pool.hpp
+++ b/include/vanilladyke/traffic/backend_pool.hpp
@@ -81,7 +81,7 @@
     /// @brief Number of connection attempts since the start.
     [[nodiscard]] std::uint64_t connectionsOpened() const { return m_connectionsOpened; }
     /// @brief Closes idle connections that have expired or whose server is no longer known.
-    void tidy(const std::function<bool(const EngineId &)> &isKnown, TimePoint now);
+    void closeStale(const std::function<bool(const EngineId &)> &isKnown, TimePoint now);
 
 private:
     struct EngineConnections
--- a/src/vanilladyke/node/control_plane.cpp
+++ b/src/vanilladyke/node/control_plane.cpp
@@ -235,8 +235,8 @@
 {
     tell([serving = m_roster.serving()](TrafficState &traffic) {
         traffic.tracker.setBackends(serving);
-        traffic.pool.tidy([&](const EngineId &id) { return traffic.tracker.knows(id); },
-                          MonotonicClock::now());
+        traffic.pool.closeStale([&](const EngineId &id) { return traffic.tracker.knows(id); },
+                                MonotonicClock::now());
     });
 }
 
--- a/src/vanilladyke/traffic/backend_pool.cpp
+++ b/src/vanilladyke/traffic/backend_pool.cpp
@@ -126,7 +126,7 @@
     return found == m_engines.end() ? 0 : *found->second.open;
 }
 
-void BackendPool::tidy(const std::function<bool(const EngineId &)> &isKnown, TimePoint now)
+void BackendPool::closeStale(const std::function<bool(const EngineId &)> &isKnown, TimePoint now)
 {
     for (auto each = m_engines.begin(); each != m_engines.end();) {
         const bool known = isKnown(each->first);
