--- a/include/vanilladyke/traffic/backend_pool.hpp
+++ b/include/vanilladyke/traffic/backend_pool.hpp
@@ -41,7 +41,7 @@
     std::optional<TimePoint> usableUntil;
     bool isOpen = false;
     bool isIdle = false;
-    bool isWriting = false;
+    bool isWriting = false; ///< a request is being written, or writing it failed
     bool isReused = false;
     std::uint64_t useCount = 0; ///< number of times the connection was taken from the pool
     std::shared_ptr<int> openCount;
--- a/include/vanilladyke/traffic/exchange.hpp
+++ b/include/vanilladyke/traffic/exchange.hpp
@@ -43,7 +43,7 @@
     void callerDisconnected();
     /// @brief Withdraws a quarantined request from the engines where it waits: aborts every open
     /// exchange with this digest that has not received a first byte.
-    static void withdrawQuarantined(TrafficState &state, const WorkDigest &held);
+    static void withdrawQuarantined(TrafficState &state, const WorkDigest &quarantined);
 
 private:
     /// With less time than this left, no try is started: it could not connect and get an answer.
@@ -166,7 +166,7 @@
     int m_status = 0;
     bool m_callerDisconnected = false;
     bool m_timedOut = false;
-    bool m_stalled = false;
+    bool m_stalled = false;   ///< the current try was aborted by onDeadline() for another server
     bool m_isTooLate = false; ///< predicted wait too long at the best server
     bool m_headWritten = false;
     bool m_budgetSpent = false;
--- a/src/vanilladyke/traffic/exchange.cpp
+++ b/src/vanilladyke/traffic/exchange.cpp
@@ -18,8 +18,8 @@
 constexpr std::uint64_t MaxAnswerBytes = 256ULL << 20U;
 /// Number of answers to other requests that are skipped on a connection before it is given up.
 constexpr int MaxStrayAnswers = 3;
-/// Includes servers that refuse without running the request: each such try still adds to their
-/// load.
+/// Limit of tries before a part of an answer was delivered. Servers that refuse without running the
+/// request count as well: each such try still adds to their load.
 constexpr int MaxSends = 4;
 constexpr int MaxConnectFailures = 6;
 /// Longer prompts are less urgent than short ones of the same priority: one of them takes as long
@@ -343,17 +343,17 @@
     m_stalled = false;
     m_firstByteAt.reset();
     m_connection = connection;
-    const BackendQuery asked = query();
+    const BackendQuery sentQuery = query();
     const auto weightsEnd = m_state.tracker.weightsEnd(choice.backend.id, m_request.model);
     m_weightsTimeLeft = weightsEnd ? std::optional(*weightsEnd - now) : std::nullopt;
-    m_state.tracker.sent(choice, asked, now);
+    m_state.tracker.sent(choice, sentQuery, now);
     if (m_state.tracker.limitOf(choice.backend.id)) {
         m_state.metrics.count("requests_to_limited_engines_total");
         m_state.notifyPeers(); // all nodes share this limit
     }
     if (choice.saveTo) {
-        const std::string salt = cacheSalt(asked.model, choice.weights, asked.isolated);
-        m_state.keptCache.toldSaved(KeptCacheView::keyOf(salt, asked.sharedPart), now);
+        const std::string salt = cacheSalt(sentQuery.model, choice.weights, sentQuery.isolated);
+        m_state.keptCache.toldSaved(KeptCacheView::keyOf(salt, sentQuery.sharedPart), now);
     }
     const TryResult end = co_await sendAndReceive(choice, connection);
     m_connection.reset();
@@ -422,12 +422,13 @@
     m_state.notifyPeers();
 }
 
-void Exchange::withdrawQuarantined(TrafficState &state, const WorkDigest &held)
+void Exchange::withdrawQuarantined(TrafficState &state, const WorkDigest &quarantined)
 {
     int withdrawn = 0;
     for (Exchange *const each : *state.openExchanges) {
         const bool waits = each->m_connection != nullptr && !each->m_firstByteAt;
-        if (waits && state.quarantine.concerns(each->customerHash()) && each->digest() == held) {
+        if (waits && state.quarantine.concerns(each->customerHash())
+            && each->digest() == quarantined) {
             each->m_isWithdrawn = true;
             each->abortTry();
             ++withdrawn;
@@ -435,8 +436,8 @@
     }
     state.metrics.count("requests_quarantined_total");
     LogEvent("request_quarantined", Severity::Warning)
-            .field("digest", held.str())
-            .field("engines_ended", state.quarantine.endsUnder(held))
+            .field("digest", quarantined.str())
+            .field("engines_ended", state.quarantine.endsUnder(quarantined))
             .field("withdrawn", withdrawn)
             .field("held", state.quarantine.held(MonotonicClock::now()))
             .field("suspected", state.quarantine.size());
