--- a/src/vanilladyke/app/node_command.cpp
+++ b/src/vanilladyke/app/node_command.cpp
@@ -73,7 +73,7 @@
         SecondSendTerms terms = settings.control.secondSends;
         terms.nodes = NodesBeforeTheList;
         m_traffic.nodes = NodesBeforeTheList;
-        m_traffic.budget.setTerms(terms);
+        m_traffic.retryBudget.setTerms(terms);
     }
 
     int run()
@@ -126,10 +126,10 @@
     /// What this node and others tell each other, across both threads.
     void connectNodes()
     {
-        m_traffic.peersChanged = [this](const std::vector<Endpoint> &peers) {
+        m_traffic.onPeersChanged = [this](const std::vector<Endpoint> &peers) {
             m_sharing.setPeers(peers);
         };
-        m_traffic.tellPeers = [this] { m_sharing.tellSoon(); };
+        m_traffic.notifyPeers = [this] { m_sharing.tellSoon(); };
         m_sharing.heardNode = [this](std::uint64_t node, std::uint64_t centre, Endpoint endpoint) {
             asio::post(m_controlContext, [this, node, centre, endpoint = std::move(endpoint)] {
                 m_follower.heardNode(node, centre, endpoint);
@@ -160,7 +160,7 @@
     {
         LogEvent("stopping").field("signal", signal).field("open", m_traffic.openExchanges->size());
         m_stopAt = MonotonicClock::now();
-        m_server.announceStop();
+        m_server.beginDrain();
         asio::post(m_controlContext, [this] { m_control.handOver(); });
         stepStop();
     }
@@ -194,10 +194,10 @@
                                 || settings->control.self != m_settings.control.self;
         m_traffic.settings.keysValidFor = settings->traffic.keysValidFor;
         m_traffic.settings.failsClosed = settings->traffic.failsClosed;
-        m_traffic.quarantine.setExempted(settings->traffic.freedRequests);
+        m_traffic.quarantine.setExempted(settings->traffic.releasedRequests);
         SecondSendTerms terms = settings->control.secondSends;
         terms.nodes = m_traffic.nodes;
-        m_traffic.budget.setTerms(terms);
+        m_traffic.retryBudget.setTerms(terms);
         LogEvent("reload").field("path", m_path).field("needs_start", needsStart);
     }
 
@@ -205,7 +205,7 @@
     {
         const TimePoint now = MonotonicClock::now();
         if (now - m_stopAt >= BalancerLag) {
-            m_server.leave();
+            m_server.stopAccepting();
         }
         const bool isDone = now - m_stopAt >= BalancerLag && m_server.isIdle();
         if (isDone || now - m_stopAt >= m_settings.grace - KillMargin) {
--- a/src/vanilladyke/node/control_plane.cpp
+++ b/src/vanilladyke/node/control_plane.cpp
@@ -43,21 +43,21 @@
     WeightsNews news;
     news.loading = [this](const EngineId &id, Duration span) {
         tell([id, span](TrafficState &traffic) {
-            traffic.book.loading(id, MonotonicClock::now() + span);
-            traffic.tellPeers();
+            traffic.tracker.loading(id, MonotonicClock::now() + span);
+            traffic.notifyPeers();
         });
     };
     news.loaded = [this](const EngineId &id, const ModelId &model, std::uint64_t version) {
         tell([id, model, version](TrafficState &traffic) {
-            traffic.book.loaded(id, model, version, MonotonicClock::now());
-            traffic.tellPeers();
+            traffic.tracker.loaded(id, model, version, MonotonicClock::now());
+            traffic.notifyPeers();
         });
     };
     news.aged = [this](const WeightsAge &weights) {
         const TimePoint knownAt = MonotonicClock::now() - weights.age;
         const NamedWeights named{weights.model, {weights.version, knownAt, knownAt}};
         tell([named](TrafficState &traffic) {
-            traffic.dateWeights(named, DateGrounds::Told, "lease");
+            traffic.recordWeightsDate(named, DateGrounds::Told, "lease");
         });
     };
     return news;
@@ -111,8 +111,8 @@
     auto table = std::make_shared<const RouteTable>(std::move(config));
     tell([table](TrafficState &traffic) {
         traffic.table = table;
-        traffic.book.setTransferRates(table->transferRates());
-        traffic.kept.setStores(table->keptStores());
+        traffic.tracker.setTransferRates(table->transferRates());
+        traffic.keptCache.setStores(table->keptStores());
     });
     std::vector<Endpoint> stores;
     for (const KeptStore &store : table->keptStores()) {
@@ -130,7 +130,7 @@
     if (age) {
         const NamedWeights named{model, {version, now - *age, now}};
         tell([named](TrafficState &traffic) {
-            traffic.dateWeights(named, DateGrounds::Read, "record");
+            traffic.recordWeightsDate(named, DateGrounds::Read, "record");
         });
         return;
     }
@@ -139,7 +139,7 @@
     const TimePoint guess = now - m_traffic.settings.rates.weightsTime / 2;
     const NamedWeights named{model, {version, guess, guess}};
     tell([named](TrafficState &traffic) {
-        traffic.dateWeights(named, DateGrounds::Guess, "guess");
+        traffic.recordWeightsDate(named, DateGrounds::Guess, "guess");
     });
 }
 
@@ -198,23 +198,23 @@
     terms.nodes = std::max<std::size_t>(peers.size(), 1);
     tell([terms, peers = std::move(peers)](TrafficState &traffic) {
         traffic.nodes = terms.nodes;
-        traffic.budget.setTerms(terms);
-        if (traffic.peersChanged) {
-            traffic.peersChanged(peers);
+        traffic.retryBudget.setTerms(terms);
+        if (traffic.onPeersChanged) {
+            traffic.onPeersChanged(peers);
         }
     });
 }
 
 void ControlPlane::keptCacheReset(const Endpoint &store, KeptCacheState state)
 {
-    tell([store, state](TrafficState &traffic) { traffic.kept.reset(store, state); });
+    tell([store, state](TrafficState &traffic) { traffic.keptCache.reset(store, state); });
 }
 
 void ControlPlane::keptCacheChanged(const Endpoint &store, std::vector<KeptPart> parts)
 {
     tell([store, parts = std::move(parts)](TrafficState &traffic) {
         for (const KeptPart &each : parts) {
-            traffic.kept.changed(store, each.salt, each.part, each.tokens);
+            traffic.keptCache.changed(store, each.salt, each.part, each.tokens);
         }
     });
 }
@@ -234,9 +234,9 @@
 void ControlPlane::publishNow()
 {
     tell([serving = m_roster.serving()](TrafficState &traffic) {
-        traffic.book.setBackends(serving);
-        traffic.pool.tidy([&](const EngineId &id) { return traffic.book.knows(id); },
-                          MonotonicClock::now());
+        traffic.tracker.setBackends(serving);
+        traffic.pool.closeStale([&](const EngineId &id) { return traffic.tracker.knows(id); },
+                                MonotonicClock::now());
     });
 }
 
--- a/src/vanilladyke/traffic/caller_session.cpp
+++ b/src/vanilladyke/traffic/caller_session.cpp
@@ -13,13 +13,15 @@
 
 namespace {
 
-/// A caller that takes no bytes for this long is gone; the deadline of its request is over by then.
+/// A caller that accepts no data for this long is considered gone. Its request's deadline has
+/// passed by then.
 constexpr Duration WriteTimeout = std::chrono::seconds(10);
-/// For a body of the greatest size over a slow link.
+/// Allows for a body of maximum size over a slow link.
 constexpr Duration BodyTimeout = std::chrono::seconds(10);
-constexpr std::size_t ReadBytes = 4096;
-constexpr std::size_t MostBuffered = 65536;
+constexpr std::size_t ReadSize = 4096;
+constexpr std::size_t MaxBufferedBytes = 65536;
 
+/// HTTP status for a failed read; 0 if the connection broke and nobody can receive an answer.
 int statusFor(const ErrorCode &error)
 {
     if (error == http::error::header_limit) {
@@ -39,21 +41,21 @@
 CallerSession::CallerSession(TrafficState &state, Tcp::socket socket)
     : m_state(state)
     , m_socket(std::move(socket))
-    , m_buffer(MostBuffered)
-    , m_timed(std::make_shared<Timed>())
+    , m_buffer(MaxBufferedBytes)
+    , m_deadlineTimer(std::make_shared<DeadlineTimer>())
 {}
 
 void CallerSession::start()
 {
-    m_state.ticker.add(m_timed);
-    m_timed->onDue = [this] { close(); };
+    m_state.ticker.add(m_deadlineTimer);
+    m_deadlineTimer->onDue = [this] { close(); };
     asio::co_spawn(
             m_state.context,
             [self = shared_from_this()]() -> asio::awaitable<void> { co_await self->run(); },
             asio::detached);
 }
 
-void CallerSession::finish()
+void CallerSession::closeWhenIdle()
 {
     m_keepsOpen = false;
     if (!isBusy() && !m_isReading) {
@@ -71,22 +73,22 @@
 {
     while (m_keepsOpen && m_socket.is_open()) {
         CallerRequest request;
-        const bool isThere = co_await readRequest(&request);
-        if (!isThere) {
+        const bool hasRequest = co_await readRequest(&request);
+        if (!hasRequest) {
             break;
         }
-        m_keepsOpen = m_keepsOpen && request.keepsConnection && !m_state.isStopping;
+        m_keepsOpen = m_keepsOpen && request.keepsConnection && !m_state.isDraining;
         m_exchange = std::make_shared<Exchange>(m_state, std::move(request), *this);
         watchForClose();
         const std::shared_ptr<Exchange> exchange = m_exchange;
-        const ExchangeEnd end = co_await exchange->run();
+        const ExchangeResult end = co_await exchange->run();
         m_exchange.reset();
-        m_timed->dueAt.reset();
-        if (end == ExchangeEnd::Broken) {
+        m_deadlineTimer->dueAt.reset();
+        if (end == ExchangeResult::Broken) {
             break;
         }
         ErrorCode ignored;
-        m_socket.cancel(ignored); // the watch for the caller's close
+        m_socket.cancel(ignored); // ends the wait that watchForClose() started
     }
     close();
 }
@@ -95,14 +97,14 @@
 {
     const CallerLimits limits =
             m_state.table == nullptr ? CallerLimits() : m_state.table->config().limits;
-    m_timed->dueAt = MonotonicClock::now() + limits.idleTimeout;
+    m_deadlineTimer->dueAt = MonotonicClock::now() + limits.idleTimeout;
     ErrorCode error;
     if (m_buffer.size() == 0) {
         const std::size_t got =
-                co_await m_socket.async_read_some(m_buffer.prepare(ReadBytes), into(error));
+                co_await m_socket.async_read_some(m_buffer.prepare(ReadSize), redirectError(error));
         m_buffer.commit(got);
     }
-    m_timed->dueAt = MonotonicClock::now() + limits.headerTimeout;
+    m_deadlineTimer->dueAt = MonotonicClock::now() + limits.headerTimeout;
     co_return !error && m_buffer.size() > 0;
 }
 
@@ -119,30 +121,30 @@
     parser.header_limit(limits.headerBytes);
     parser.body_limit(limits.bodyBytes);
     ErrorCode error;
-    co_await http::async_read_header(m_socket, m_buffer, parser, into(error));
+    co_await http::async_read_header(m_socket, m_buffer, parser, redirectError(error));
     if (!error && !parser.is_done()) {
-        m_timed->dueAt = MonotonicClock::now() + BodyTimeout;
+        m_deadlineTimer->dueAt = MonotonicClock::now() + BodyTimeout;
         if (parser.get()[http::field::expect] == "100-continue") {
-            const bool isThere = co_await write("HTTP/1.1 100 Continue\r\n\r\n");
-            if (!isThere) {
+            const bool isWritten = co_await write("HTTP/1.1 100 Continue\r\n\r\n");
+            if (!isWritten) {
                 co_return false;
             }
         }
-        co_await http::async_read(m_socket, m_buffer, parser, into(error));
+        co_await http::async_read(m_socket, m_buffer, parser, redirectError(error));
     }
-    m_timed->dueAt.reset();
+    m_deadlineTimer->dueAt.reset();
     m_isReading = false;
     if (error) {
         const int status = statusFor(error);
         if (status != 0) {
-            co_await rejectHead(status);
+            co_await rejectRequest(status);
         }
         co_return false;
     }
-    auto read = m_state.dialect.readCaller(parser.get().base(), MonotonicClock::now());
+    auto read = m_state.dialect.parseRequest(parser.get().base(), MonotonicClock::now());
     if (!read) {
         LogEvent("bad_request", Severity::Warning).field("reason", read.error().reason);
-        co_await rejectHead(400);
+        co_await rejectRequest(400);
         co_return false;
     }
     *request = std::move(*read);
@@ -153,7 +155,7 @@
     co_return true;
 }
 
-asio::awaitable<void> CallerSession::rejectHead(int status)
+asio::awaitable<void> CallerSession::rejectRequest(int status)
 {
     m_keepsOpen = false;
     std::string answer = "HTTP/1.1 " + std::to_string(status) + " "
@@ -165,7 +167,7 @@
 void CallerSession::watchForClose()
 {
     if (m_buffer.size() > 0) {
-        return; // the next request is here already, so the caller is
+        return; // a pipelined request has arrived: the socket is readable without a close
     }
     m_socket.async_wait(Tcp::socket::wait_read,
                         [self = shared_from_this(),
@@ -176,7 +178,7 @@
                             }
                             ErrorCode failed;
                             if (self->m_socket.available(failed) == 0 || failed) {
-                                exchange->callerLeft();
+                                exchange->callerDisconnected();
                                 self->close();
                             }
                         });
@@ -184,16 +186,16 @@
 
 asio::awaitable<bool> CallerSession::write(std::string bytes)
 {
-    m_timed->dueAt = MonotonicClock::now() + WriteTimeout;
+    m_deadlineTimer->dueAt = MonotonicClock::now() + WriteTimeout;
     ErrorCode error;
-    co_await asio::async_write(m_socket, asio::buffer(bytes), into(error));
-    m_timed->dueAt.reset();
+    co_await asio::async_write(m_socket, asio::buffer(bytes), redirectError(error));
+    m_deadlineTimer->dueAt.reset();
     co_return !error;
 }
 
 std::string CallerSession::connectionLine()
 {
-    m_keepsOpen = m_keepsOpen && !m_state.isStopping;
+    m_keepsOpen = m_keepsOpen && !m_state.isDraining;
     return m_keepsOpen ? std::string() : "Connection: close\r\n";
 }
 
--- a/src/vanilladyke/traffic/engine_ends_test.cpp
+++ b/src/vanilladyke/traffic/engine_liveness_probe_test.cpp
@@ -1,4 +1,4 @@
-#include "vanilladyke/traffic/engine_ends.hpp"
+#include "vanilladyke/traffic/engine_liveness_probe.hpp"
 
 #include <gtest/gtest.h>
 
@@ -6,10 +6,10 @@
 
 namespace {
 
-class EngineEndsTest : public ::testing::Test
+class EngineLivenessProbeTest : public ::testing::Test
 {
 protected:
-    /// Asks once for each of @p times, all at the same moment. @return how often it had ended
+    /// Starts @p times checks concurrently. @return how many reported that the engine has ended
     int ask(const Endpoint &endpoint, int times)
     {
         int ended = 0;
@@ -18,14 +18,15 @@
             asio::co_spawn(
                     context,
                     [&]() -> asio::awaitable<void> {
-                        const bool hasEnded = co_await ends.hasEnded(EngineId("e"), endpoint);
+                        const bool hasEnded =
+                                co_await livenessProbe.hasEnded(EngineId("e"), endpoint);
                         ended += hasEnded ? 1 : 0;
                         ++answered;
                     },
                     asio::detached);
         }
         while (answered < times) {
-            context.run_one(); // the connection that is kept goes on waiting
+            context.run_one(); // run() would not return: the pooled connection keeps a pending wait
         }
         return ended;
     }
@@ -33,19 +34,19 @@
     asio::io_context context;
     Ticker ticker{context};
     BackendPool pool{context, ticker};
-    EngineEnds ends{context, pool};
+    EngineLivenessProbe livenessProbe{context, pool};
 };
 
-// A request that lost its connection would be held to have ended an engine that lives.
-TEST_F(EngineEndsTest, AnEngineThatListensHasNotEnded)
+// Guards against blaming a request that lost its connection for ending an engine that still runs.
+TEST_F(EngineLivenessProbeTest, AnEngineThatListensHasNotEnded)
 {
     Tcp::acceptor acceptor(context, Tcp::endpoint(asio::ip::address_v4::loopback(), 0));
     EXPECT_EQ(ask({"127.0.0.1", acceptor.local_endpoint().port()}, 3), 0);
-    EXPECT_EQ(pool.opened(), 1U);
-    EXPECT_FALSE(ends.wasKnownEnded(EngineId("e"), MonotonicClock::now()));
+    EXPECT_EQ(pool.connectionsOpened(), 1U);
+    EXPECT_FALSE(livenessProbe.hadEndedBefore(EngineId("e"), MonotonicClock::now()));
 }
 
-TEST_F(EngineEndsTest, AnAddressWhereNobodyListensHasEnded)
+TEST_F(EngineLivenessProbeTest, AnEngineThatRefusesConnectionsHasEnded)
 {
     std::uint16_t port = 0;
     {
@@ -53,8 +54,8 @@
         port = acceptor.local_endpoint().port();
     }
     EXPECT_EQ(ask({"127.0.0.1", port}, 3), 3);
-    EXPECT_EQ(pool.opened(), 1U);
-    EXPECT_TRUE(ends.wasKnownEnded(EngineId("e"), MonotonicClock::now()));
+    EXPECT_EQ(pool.connectionsOpened(), 1U);
+    EXPECT_TRUE(livenessProbe.hadEndedBefore(EngineId("e"), MonotonicClock::now()));
 }
 
 } // namespace
--- a/src/vanilladyke/traffic/exchange.cpp
+++ b/src/vanilladyke/traffic/exchange.cpp
@@ -14,29 +14,36 @@
 
 namespace {
 
-constexpr std::uint64_t LongestAnswer = 256ULL << 20U;
-/// A server that answered somebody else's request has at most so many stray answers queued.
-constexpr int MostStrayAnswers = 3;
-/// Servers that refuse before running cost little, but each is an arrival there.
-constexpr int MostSends = 4;
-constexpr int MostConnectFailures = 6;
-/// A prompt this long goes behind short ones of the same rank: it takes many of their times.
+/// Upper bound of an answer's body, in bytes.
+constexpr std::uint64_t MaxAnswerBytes = 256ULL << 20U;
+/// Number of answers to other requests that are skipped on a connection before it is given up.
+constexpr int MaxStrayAnswers = 3;
+/// Limit of tries before a part of an answer was delivered. Servers that refuse without running the
+/// request count as well: each such try still adds to their load.
+constexpr int MaxSends = 4;
+constexpr int MaxConnectFailures = 6;
+/// Longer prompts are less urgent than short ones of the same priority: one of them takes as long
+/// as many short ones.
 constexpr std::uint64_t LongPromptTokens = 2048;
-/// A repeatable request waits so many targets for its first byte, then tries another server.
-constexpr int TargetsToWait = 3;
-constexpr Duration LeastPatience = std::chrono::milliseconds(450);
-/// A stream that broke off is worth more tries than a request that nobody has begun to answer.
-constexpr int MostResumes = 12;
-constexpr Duration ResumeTime = std::chrono::milliseconds(900);
-/// Bytes that have come and were not read yet are read within a few rounds of the event loop.
-constexpr Duration UnreadPatience = std::chrono::milliseconds(100);
-/// What a request needs to leave an engine's queue, and how late news of weights may be.
+/// A repeatable request waits this many target latencies for its first byte, then tries another
+/// server.
+constexpr int FirstByteTimeoutTargets = 3;
+constexpr Duration MinFirstByteTimeout = std::chrono::milliseconds(450);
+/// Limit of tries once a part of a stream was delivered. It is higher than MaxSends, because a
+/// failure then loses what the caller already has.
+constexpr int MaxStreamSends = 12;
+constexpr Duration ResumeWaitTime = std::chrono::milliseconds(900);
+/// Extension of a try's deadline while received bytes are unread: they are read within a few
+/// iterations of the event loop.
+constexpr Duration UnreadDataExtension = std::chrono::milliseconds(100);
+/// Covers the time to remove a request from an engine's queue and the delay of weights updates.
 constexpr Duration WithdrawMargin = std::chrono::milliseconds(800);
-/// How often a request that waits is checked for weights that were named meanwhile.
-constexpr Duration WeightsCheck = std::chrono::seconds(1);
+/// Interval at which a waiting request is checked for newly announced weights.
+constexpr Duration WeightsCheckInterval = std::chrono::seconds(1);
 
-/// The first part with which half of the shared tokens are reached.
-std::string homePart(const std::vector<PromptPart> &parts, std::uint64_t shared)
+/// Part that determines the preferred engine: the first that ends at or after half of the shared
+/// tokens. Prompts that differ only in later parts then prefer the same engine.
+std::string preferredEnginePart(const std::vector<PromptPart> &parts, std::uint64_t shared)
 {
     std::uint64_t reached = 0;
     for (const PromptPart &part : parts) {
@@ -61,7 +68,7 @@
     , m_sink(sink)
     , m_openExchanges(state.openExchanges)
     , m_table(state.table)
-    , m_timed(std::make_shared<Timed>())
+    , m_deadlineTimer(std::make_shared<DeadlineTimer>())
     , m_wait(state.context)
 {
     m_openExchanges->insert(this);
@@ -72,26 +79,26 @@
     m_openExchanges->erase(this);
 }
 
-std::string_view Exchange::nameOf(TryEnd end)
+std::string_view Exchange::nameOf(TryResult end)
 {
     switch (end) {
-    case TryEnd::Delivered:
+    case TryResult::Delivered:
         return "delivered";
-    case TryEnd::NotExecuted:
+    case TryResult::NotExecuted:
         return "not_executed";
-    case TryEnd::Unreached:
+    case TryResult::Unreached:
         return "unreached";
-    case TryEnd::Failed:
+    case TryResult::Failed:
         return "failed";
-    case TryEnd::Lost:
+    case TryResult::Lost:
         return "lost";
-    case TryEnd::Interrupted:
+    case TryResult::Interrupted:
         return "interrupted";
     }
     return "unknown";
 }
 
-asio::awaitable<ExchangeEnd> Exchange::run()
+asio::awaitable<ExchangeResult> Exchange::run()
 {
     if (const std::optional<Refusal> refusal = admit()) {
         std::optional<Duration> after;
@@ -100,64 +107,64 @@
         }
         co_return co_await refuse(httpStatus(refusal->reason), toString(refusal->reason), after);
     }
-    m_state.budget.countRequest(m_service, m_request.arrived);
-    m_state.ticker.add(m_timed);
-    m_timed->onDue = [this] { due(); };
-    setPatience(std::nullopt);
+    m_state.retryBudget.countRequest(m_service, m_request.arrived);
+    m_state.ticker.add(m_deadlineTimer);
+    m_deadlineTimer->onDue = [this] { onDeadline(); };
+    setAnswerDeadline(std::nullopt);
     int connectFailures = 0;
     for (;;) {
         const TimePoint now = MonotonicClock::now();
-        if (m_callerLeft || m_timedOut || m_deadline - now < LeastTimeForTry) {
+        if (m_callerDisconnected || m_timedOut || m_deadline - now < MinTimeForTry) {
             break;
         }
         if (heldUntil(now)) {
             break;
         }
-        const auto choice = m_state.book.choose(query(), now);
+        const auto choice = m_state.tracker.choose(query(), now);
         if (!choice) {
-            m_none = choice.error();
-            const bool mayOpen = co_await waitForBackend(choice.error());
-            if (!mayOpen) {
+            m_noBackend = choice.error();
+            const bool mayBecomeAvailable = co_await waitForBackend(choice.error());
+            if (!mayBecomeAvailable) {
                 break;
             }
             continue;
         }
         m_choice = *choice;
-        if (const auto until = comesTooLate(*choice, now)) {
-            m_none = {true, *until};
+        if (const auto until = retryTimeIfTooLate(*choice, now)) {
+            m_noBackend = {true, *until};
             m_isTooLate = true;
             break;
         }
-        const TryEnd end = co_await tryBackend(*choice);
-        if (end == TryEnd::Delivered) {
+        const TryResult end = co_await tryBackend(*choice);
+        if (end == TryResult::Delivered) {
             log(m_status, "answered");
-            co_return ExchangeEnd::Answered;
+            co_return ExchangeResult::Answered;
         }
-        m_tried.push_back(choice->backend.id);
-        if (end == TryEnd::Unreached) {
-            if (++connectFailures >= MostConnectFailures) {
+        m_triedEngines.push_back(choice->backend.id);
+        if (end == TryResult::Unreached) {
+            if (++connectFailures >= MaxConnectFailures) {
                 break;
             }
             continue;
         }
-        if (m_callerLeft || m_timedOut || !maySendAgain(end)) {
+        if (m_callerDisconnected || m_timedOut || !mayRetry(end)) {
             break;
         }
-        if (end == TryEnd::Interrupted) {
+        if (end == TryResult::Interrupted) {
             m_resumeAfter = m_events.lastId();
-            m_waitUntil = MonotonicClock::now() + ResumeTime;
+            m_waitUntil = MonotonicClock::now() + ResumeWaitTime;
         }
     }
-    co_return co_await giveUp();
+    co_return co_await finishUnanswered();
 }
 
 std::optional<Refusal> Exchange::admit()
 {
     const TimePoint now = m_request.arrived;
-    if (m_state.isLeaving) {
+    if (m_state.isShuttingDown) {
         return Refusal{RefusalReason::ShuttingDown, "node is stopping", Ran::No, now};
     }
-    // The next proof of the configuration's age is due within about a second.
+    // The next freshness proof of the configuration is due within about a second.
     const TimePoint nextProof = now + std::chrono::seconds(1);
     if (m_table == nullptr) {
         return Refusal{RefusalReason::NotReady, "no configuration yet", Ran::No, nextProof};
@@ -184,7 +191,7 @@
     }
     m_service = RouteTable::pickService(*m_route, uniform(m_state.random));
     m_resumeAfter = m_request.lastEventId;
-    // Waiting longer than half the target helps nobody: the caller can try another node.
+    // After half the target it is better for the caller to try another node.
     m_waitUntil = now + m_route->targetLatency / 2;
     m_deadline = now + m_route->timeout;
     if (m_request.deadline) {
@@ -198,12 +205,12 @@
     BackendQuery result;
     result.service = m_service;
     result.model = m_request.model;
-    result.leastHomeTokens = m_state.book.leastHomeTokens(m_service);
+    result.leastHomeTokens = m_state.tracker.leastHomeTokens(m_service);
     result.target = m_route->targetLatency;
     result.urgency = urgency();
-    result.exclude = m_tried;
-    const bool hasStore = m_state.settings.rates.usesKeptStore && m_state.kept.stores() > 0;
-    result.kept = hasStore ? &m_state.kept : nullptr;
+    result.exclude = m_triedEngines;
+    const bool hasStore = m_state.settings.rates.usesKeptStore && m_state.keptCache.stores() > 0;
+    result.kept = hasStore ? &m_state.keptCache : nullptr;
     if (const ServiceSpec *service = m_table->service(m_service)) {
         result.memoryTokens = service->cacheTokens;
     }
@@ -214,7 +221,7 @@
             shared += m_request.parts[i].tokens;
         }
         if (m_state.settings.rates.homesByBeginning) {
-            result.homePart = homePart(m_request.parts, shared);
+            result.homePart = preferredEnginePart(m_request.parts, shared);
         }
         result.sharedPart = m_request.parts[m_request.parts.size() - 2].id;
         if (m_customer != nullptr && m_customer->isIsolated) {
@@ -236,7 +243,8 @@
     return std::clamp(1 + 2 * rank + (isLong ? 1 : 0), 0, WaitingWork::Urgencies - 1);
 }
 
-std::optional<TimePoint> Exchange::comesTooLate(const BackendChoice &choice, TimePoint now) const
+std::optional<TimePoint> Exchange::retryTimeIfTooLate(const BackendChoice &choice,
+                                                      TimePoint now) const
 {
     if (m_request.model.empty() || m_headWritten || m_sends > 0) {
         return std::nullopt;
@@ -245,53 +253,55 @@
     return refusedUntil({m_route->targetLatency, m_deadline, most}, choice.waits, now);
 }
 
-SendTerms Exchange::termsFor(const BackendChoice &choice) const
+BackendRequestOptions Exchange::optionsFor(const BackendChoice &choice) const
 {
-    SendTerms terms;
-    terms.deadline = m_deadline;
-    terms.expected = choice.backend.id;
-    terms.weights = choice.weights;
+    BackendRequestOptions options;
+    options.deadline = m_deadline;
+    options.expectedEngine = choice.backend.id;
+    options.weights = choice.weights;
     if (m_customer != nullptr) {
-        terms.customer = m_customer->id;
+        options.customer = m_customer->id;
     }
-    terms.urgency = urgency();
-    terms.resumeAfter = m_resumeAfter;
+    options.urgency = urgency();
+    options.resumeAfter = m_resumeAfter;
     if (m_request.parts.empty()) {
-        return terms;
+        return options;
     }
     if (choice.weights == 0) {
-        // Cached work must name its weights; without them the request shares with none.
-        terms.cacheSalt = "alone-" + m_request.id;
-        return terms;
+        // Cached work is valid for one version of the weights only. The version is unknown here, so
+        // the salt is unique and nothing is shared.
+        options.cacheSalt = "alone-" + m_request.id;
+        return options;
     }
     const bool isIsolated = m_customer != nullptr && m_customer->isIsolated;
-    terms.cacheSalt =
+    options.cacheSalt =
             cacheSalt(m_request.model, choice.weights, isIsolated ? m_customer->id : CustomerId());
-    terms.fetchFrom = choice.fetchFrom;
-    // What the store has is not saved again: the request's own part would push shared ones out.
-    terms.saveTo = choice.saveTo;
-    return terms;
+    options.fetchFrom = choice.fetchFrom;
+    // Set only if the store lacks the shared part. Saving the request's own part as well would
+    // evict shared parts.
+    options.saveTo = choice.saveTo;
+    return options;
 }
 
 asio::awaitable<bool> Exchange::waitForBackend(const NoBackend &none)
 {
     const TimePoint now = MonotonicClock::now();
-    const TimePoint latest = std::min(m_waitUntil, m_deadline - LeastTimeForTry);
-    const bool triedAll = !m_tried.empty() && m_none.retryAt > latest;
+    const TimePoint latest = std::min(m_waitUntil, m_deadline - MinTimeForTry);
+    const bool triedAll = !m_triedEngines.empty() && m_noBackend.retryAt > latest;
     if (triedAll || none.retryAt > latest || now >= latest) {
-        if (none.isKnown && !m_tried.empty() && now < latest) {
-            m_tried.clear(); // a server that refused a moment ago may have room again
+        if (none.isKnown && !m_triedEngines.empty() && now < latest) {
+            m_triedEngines.clear(); // a server that refused before may have room by now
             constexpr Duration Pause = std::chrono::milliseconds(20);
             m_wait.expires_after(Pause);
             ErrorCode ignored;
-            co_await m_wait.async_wait(into(ignored));
-            co_return m_sends < mostSends();
+            co_await m_wait.async_wait(redirectError(ignored));
+            co_return m_sends < maxSends();
         }
         co_return false;
     }
     m_wait.expires_after(std::max<Duration>(none.retryAt - now, std::chrono::milliseconds(5)));
     ErrorCode ignored;
-    co_await m_wait.async_wait(into(ignored));
+    co_await m_wait.async_wait(redirectError(ignored));
     co_return true;
 }
 
@@ -304,68 +314,68 @@
     co_return co_await m_state.pool.connect(choice.backend.id, choice.backend.endpoint);
 }
 
-asio::awaitable<Exchange::TryEnd> Exchange::tryBackend(const BackendChoice &choice)
+asio::awaitable<Exchange::TryResult> Exchange::tryBackend(const BackendChoice &choice)
 {
     const BackendConnectionPtr connection = co_await connectionTo(choice);
     if (connection == nullptr) {
-        m_state.book.close(choice.backend.id, MonotonicClock::now());
+        m_state.tracker.close(choice.backend.id, MonotonicClock::now());
         m_state.metrics.count("backend_unreached_total");
-        co_return TryEnd::Unreached;
+        co_return TryResult::Unreached;
     }
-    if (m_callerLeft || m_timedOut) {
-        m_state.pool.giveBack(connection, std::nullopt, MonotonicClock::now());
-        co_return TryEnd::Unreached;
+    if (m_callerDisconnected || m_timedOut) {
+        m_state.pool.putBack(connection, std::nullopt, MonotonicClock::now());
+        co_return TryResult::Unreached;
     }
     const TimePoint now = MonotonicClock::now();
-    if (!m_state.book.hasRoom(choice.backend.id, now)) {
-        m_state.pool.giveBack(connection, std::nullopt, now);
+    if (!m_state.tracker.hasRoom(choice.backend.id, now)) {
+        m_state.pool.putBack(connection, std::nullopt, now);
         m_state.metrics.count("limit_taken_meanwhile_total");
-        co_return TryEnd::Unreached;
+        co_return TryResult::Unreached;
     }
-    if (m_sends > 0 && !m_hasSecondSend && !m_state.budget.spend(m_service, now)) {
-        m_state.pool.giveBack(connection, std::nullopt, now);
+    if (m_sends > 0 && !m_hasReservedRetry && !m_state.retryBudget.spend(m_service, now)) {
+        m_state.pool.putBack(connection, std::nullopt, now);
         m_budgetSpent = true;
-        co_return TryEnd::Lost;
+        co_return TryResult::Lost;
     }
-    m_hasSecondSend = false;
+    m_hasReservedRetry = false;
     ++m_sends;
     ++m_runs;
     m_stalled = false;
     m_firstByteAt.reset();
     m_connection = connection;
-    const BackendQuery asked = query();
-    const auto weightsEnd = m_state.book.weightsEnd(choice.backend.id, m_request.model);
-    m_weightsLeft = weightsEnd ? std::optional(*weightsEnd - now) : std::nullopt;
-    m_state.book.sent(choice, asked, now);
-    if (m_state.book.limitOf(choice.backend.id)) {
+    const BackendQuery sentQuery = query();
+    const auto weightsEnd = m_state.tracker.weightsEnd(choice.backend.id, m_request.model);
+    m_weightsTimeLeft = weightsEnd ? std::optional(*weightsEnd - now) : std::nullopt;
+    m_state.tracker.sent(choice, sentQuery, now);
+    if (m_state.tracker.limitOf(choice.backend.id)) {
         m_state.metrics.count("requests_to_limited_engines_total");
-        m_state.tellPeers(); // others draw on the same limit
+        m_state.notifyPeers(); // all nodes share this limit
     }
     if (choice.saveTo) {
-        const std::string salt = cacheSalt(asked.model, choice.weights, asked.isolated);
-        m_state.kept.toldSaved(KeptCacheView::keyOf(salt, asked.sharedPart), now);
+        const std::string salt = cacheSalt(sentQuery.model, choice.weights, sentQuery.isolated);
+        m_state.keptCache.toldSaved(KeptCacheView::keyOf(salt, sentQuery.sharedPart), now);
     }
-    const TryEnd end = co_await converse(choice, connection);
+    const TryResult end = co_await sendAndReceive(choice, connection);
     m_connection.reset();
     const bool begun = m_firstByteAt.has_value();
-    const bool failed = end == TryEnd::Failed
-                        || ((end == TryEnd::Lost || end == TryEnd::Interrupted) && !m_callerLeft
-                            && !m_isWithdrawn);
-    m_state.book.ended(choice, begun, failed, MonotonicClock::now());
-    if (end == TryEnd::Delivered || end == TryEnd::Failed) {
-        noteWholeAnswer();
-    }
-    if (end == TryEnd::NotExecuted) {
+    const bool failed = end == TryResult::Failed
+                        || ((end == TryResult::Lost || end == TryResult::Interrupted)
+                            && !m_callerDisconnected && !m_isWithdrawn);
+    m_state.tracker.ended(choice, begun, failed, MonotonicClock::now());
+    if (end == TryResult::Delivered || end == TryResult::Failed) {
+        recordCompleteAnswer();
+    }
+    if (end == TryResult::NotExecuted) {
         --m_runs;
         m_exchange.apply(ExchangeEvent::RefusalReceived);
-    } else if (end == TryEnd::Lost) {
+    } else if (end == TryResult::Lost) {
         m_exchange.apply(ExchangeEvent::ConnectionLost);
     }
-    if (end == TryEnd::Lost && m_stalled) {
-        m_state.book.close(choice.backend.id, MonotonicClock::now());
+    if (end == TryResult::Lost && m_stalled) {
+        m_state.tracker.close(choice.backend.id, MonotonicClock::now());
     }
-    co_await noteEnd(choice, end, now);
-    if (end != TryEnd::Delivered) {
+    co_await recordEngineEnd(choice, end, now);
+    if (end != TryResult::Delivered) {
         connection->close();
         LogEvent("try_failed", Severity::Info)
                 .field("id", m_request.id)
@@ -376,28 +386,30 @@
                 .field("sends", m_sends)
                 .field("stalled", m_stalled)
                 .field("timed_out", m_timedOut)
-                .field("caller_left", m_callerLeft)
+                .field("caller_left", m_callerDisconnected)
                 .field("engine_ended", m_engineEnded)
                 .field("digest", m_engineEnded ? digest()->str() : "none");
     }
     co_return end;
 }
 
-asio::awaitable<void> Exchange::noteEnd(const BackendChoice &choice, TryEnd end, TimePoint sentAt)
+asio::awaitable<void> Exchange::recordEngineEnd(const BackendChoice &choice, TryResult end,
+                                                TimePoint sentAt)
 {
     m_engineEnded = false;
     const TimePoint now = MonotonicClock::now();
-    const bool isCutByServer = (end == TryEnd::Lost || end == TryEnd::Interrupted) && !m_callerLeft
-                               && !m_timedOut && !m_stalled && !m_isWithdrawn;
+    const bool isCutByServer = (end == TryResult::Lost || end == TryResult::Interrupted)
+                               && !m_callerDisconnected && !m_timedOut && !m_stalled
+                               && !m_isWithdrawn;
     const EngineId &engine = choice.backend.id;
-    const bool mayTell = isCutByServer && m_state.settings.quarantines && m_state.digester.isReady()
-                         && m_state.book.knows(engine)
-                         && !m_state.ends.wasKnownEnded(engine, sentAt);
-    if (!mayTell) {
+    const bool shouldCheck = isCutByServer && m_state.settings.quarantinesRequests
+                             && m_state.digester.isReady() && m_state.tracker.knows(engine)
+                             && !m_state.livenessProbe.hadEndedBefore(engine, sentAt);
+    if (!shouldCheck) {
         co_return;
     }
     const bool hadJustBegun = !m_firstByteAt || now - *m_firstByteAt < RequestQuarantine::JustBegun;
-    m_engineEnded = co_await m_state.ends.hasEnded(engine, choice.backend.endpoint);
+    m_engineEnded = co_await m_state.livenessProbe.hasEnded(engine, choice.backend.endpoint);
     if (!m_engineEnded) {
         co_return;
     }
@@ -405,17 +417,18 @@
     const EngineTermination engineEnd{BackendBook::hashOf(engine), now, hadJustBegun};
     m_state.metrics.count("engine_ends_under_requests_total");
     if (m_state.quarantine.recordTermination(name, customerHash(), engineEnd)) {
-        withdrawHeld(m_state, name);
+        withdrawQuarantined(m_state, name);
     }
-    m_state.tellPeers();
+    m_state.notifyPeers();
 }
 
-void Exchange::withdrawHeld(TrafficState &state, const WorkDigest &held)
+void Exchange::withdrawQuarantined(TrafficState &state, const WorkDigest &quarantined)
 {
     int withdrawn = 0;
     for (Exchange *const each : *state.openExchanges) {
         const bool waits = each->m_connection != nullptr && !each->m_firstByteAt;
-        if (waits && state.quarantine.hasEvidence(each->customerHash()) && each->digest() == held) {
+        if (waits && state.quarantine.hasEvidence(each->customerHash())
+            && each->digest() == quarantined) {
             each->m_isWithdrawn = true;
             each->abortTry();
             ++withdrawn;
@@ -423,8 +436,8 @@
     }
     state.metrics.count("requests_quarantined_total");
     LogEvent("request_quarantined", Severity::Warning)
-            .field("digest", held.str())
-            .field("engines_ended", state.quarantine.terminationsUnder(held))
+            .field("digest", quarantined.str())
+            .field("engines_ended", state.quarantine.terminationsUnder(quarantined))
             .field("withdrawn", withdrawn)
             .field("held", state.quarantine.held(MonotonicClock::now()))
             .field("suspected", state.quarantine.size());
@@ -437,12 +450,12 @@
 
 std::optional<TimePoint> Exchange::heldUntil(TimePoint now) const
 {
-    const bool mayBeHeld = m_state.settings.quarantines && m_state.digester.isReady()
-                           && m_state.quarantine.hasEvidence(customerHash());
-    return mayBeHeld ? m_state.quarantine.heldUntil(*digest(), now) : std::nullopt;
+    const bool mayBeQuarantined = m_state.settings.quarantinesRequests && m_state.digester.isReady()
+                                  && m_state.quarantine.hasEvidence(customerHash());
+    return mayBeQuarantined ? m_state.quarantine.heldUntil(*digest(), now) : std::nullopt;
 }
 
-void Exchange::noteWholeAnswer()
+void Exchange::recordCompleteAnswer()
 {
     const bool mayBeSuspected =
             m_state.digester.isReady() && m_state.quarantine.hasEvidence(customerHash());
@@ -450,7 +463,7 @@
         return;
     }
     LogEvent("request_cleared").field("id", m_request.id).field("digest", digest()->str());
-    m_state.tellPeers();
+    m_state.notifyPeers();
 }
 
 std::optional<WorkDigest> Exchange::digest() const
@@ -469,8 +482,8 @@
     const TimePoint now = MonotonicClock::now();
     std::string &head = connection->head;
     head = m_request.method + " " + m_request.target + " HTTP/1.1\r\nHost: " + m_request.host
-           + "\r\n" + m_request.passedOn;
-    m_state.dialect.writeTerms(termsFor(choice), now, &head);
+           + "\r\n" + m_request.forwardedHeaders;
+    m_state.dialect.writeOptions(optionsFor(choice), now, &head);
     const bool hasBody = !m_request.body.empty();
     if (hasBody || (m_request.method != "GET" && m_request.method != "HEAD")) {
         head += "Content-Length: " + std::to_string(m_request.body.size()) + "\r\n";
@@ -480,181 +493,183 @@
     connection->isWriting = true;
     const std::array<asio::const_buffer, 2> buffers{asio::buffer(head),
                                                     asio::buffer(m_request.body)};
-    // The answer may come before the body is out; both go on side by side.
+    // Writes in the background, because the answer may begin before the whole body is sent.
     asio::async_write(connection->socket, buffers,
                       [connection, self = shared_from_this()](const ErrorCode &error, std::size_t) {
                           connection->isWriting = error.failed();
                       });
 }
 
-asio::awaitable<Exchange::TryEnd> Exchange::converse(const BackendChoice &choice,
-                                                     const BackendConnectionPtr &connection)
+asio::awaitable<Exchange::TryResult>
+Exchange::sendAndReceive(const BackendChoice &choice, const BackendConnectionPtr &connection)
 {
     startWriting(choice, connection);
-    std::optional<TimePoint> patience;
-    if (mayRepeat() && !m_headWritten) {
-        patience = MonotonicClock::now()
-                   + std::max<Duration>(m_route->targetLatency * TargetsToWait, LeastPatience);
+    std::optional<TimePoint> firstByteDeadline;
+    if (isRepeatable() && !m_headWritten) {
+        firstByteDeadline = MonotonicClock::now()
+                            + std::max<Duration>(m_route->targetLatency * FirstByteTimeoutTargets,
+                                                 MinFirstByteTimeout);
     }
-    setPatience(patience);
+    setAnswerDeadline(firstByteDeadline);
     bool sawStray = false;
-    for (int answers = 0; answers <= MostStrayAnswers; ++answers) {
+    for (int answers = 0; answers <= MaxStrayAnswers; ++answers) {
         AnswerParser parser;
-        parser.body_limit(LongestAnswer);
+        parser.body_limit(MaxAnswerBytes);
         parser.skip(m_request.method == "HEAD");
         ErrorCode error;
         co_await http::async_read_header(connection->socket, connection->buffer, parser,
-                                         into(error));
+                                         redirectError(error));
         if (error) {
-            co_return TryEnd::Lost;
+            co_return TryResult::Lost;
         }
-        const AnswerHead head = m_state.dialect.readAnswer(
+        const AnswerHead head = m_state.dialect.parseAnswer(
                 static_cast<int>(parser.get().result_int()), parser.get().base());
         m_status = head.status;
         if (head.status < 200) {
             continue;
         }
         if (head.requestId != m_request.id && !head.requestId.empty()) {
-            // A second or late answer to another request; ours may still follow.
+            // A duplicate or late answer to another request; the answer to this one may still
+            // follow.
             sawStray = true;
             std::string ignored;
-            const bool isWhole = co_await readWhole(*connection, parser, &ignored);
+            const bool isWhole = co_await readCompleteBody(*connection, parser, &ignored);
             if (!isWhole || parser.get().need_eof()) {
-                co_return TryEnd::Lost;
+                co_return TryResult::Lost;
             }
             continue;
         }
-        noteAnswer(choice, head);
+        recordAnswerHead(choice, head);
         if (head.isNotExecuted || head.status == 421) {
             std::string ignored;
-            const bool isWhole = co_await readWhole(*connection, parser, &ignored);
+            const bool isWhole = co_await readCompleteBody(*connection, parser, &ignored);
             if (isWhole && !sawStray) {
-                release(connection, parser, head);
+                releaseConnection(connection, parser, head);
             }
-            co_return TryEnd::NotExecuted;
+            co_return TryResult::NotExecuted;
         }
         if (head.isEncoded || head.requestId.empty()
             || (isSuccess(head.status) && !head.isStamped)) {
-            co_return TryEnd::Lost;
+            co_return TryResult::Lost;
         }
         if (isSuccess(head.status) && m_route->kind == RequestKind::Stream) {
-            const TryEnd end = co_await relayEvents(choice, connection, parser, head);
-            if (end == TryEnd::Delivered && !sawStray) {
-                release(connection, parser, head);
+            const TryResult end = co_await relayEvents(choice, connection, parser, head);
+            if (end == TryResult::Delivered && !sawStray) {
+                releaseConnection(connection, parser, head);
             }
             co_return end;
         }
         if (m_headWritten) {
-            co_return TryEnd::Lost; // a stream can't go on with an answer of another kind
+            co_return TryResult::Lost; // a started stream can only be continued by a stream
         }
         std::string body;
-        const bool isWhole = co_await readWhole(*connection, parser, &body);
+        const bool isWhole = co_await readCompleteBody(*connection, parser, &body);
         if (!isWhole) {
-            co_return TryEnd::Lost;
+            co_return TryResult::Lost;
         }
         m_firstByteAt = MonotonicClock::now();
-        m_state.book.began(choice, *m_firstByteAt);
+        m_state.tracker.began(choice, *m_firstByteAt);
         m_exchange.apply(ExchangeEvent::AnswerReceived);
         if (!sawStray) {
-            release(connection, parser, head);
+            releaseConnection(connection, parser, head);
         }
         if (head.status >= 500) {
             m_failure = Failure{head, std::move(body)};
-            co_return TryEnd::Failed;
+            co_return TryResult::Failed;
         }
         const bool delivered = co_await deliver(head, body);
-        co_return delivered ? TryEnd::Delivered : TryEnd::Interrupted;
+        co_return delivered ? TryResult::Delivered : TryResult::Interrupted;
     }
-    co_return TryEnd::Lost;
+    co_return TryResult::Lost;
 }
 
-void Exchange::noteAnswer(const BackendChoice &choice, const AnswerHead &head)
+void Exchange::recordAnswerHead(const BackendChoice &choice, const AnswerHead &head)
 {
     const TimePoint now = MonotonicClock::now();
     const EngineId &id = choice.backend.id;
-    if (head.status != 421) { // another engine at the same address says that
+    if (head.status != 421) { // 421 comes from another engine at the same address
         m_state.quarantine.recordEngineAnswer(BackendBook::hashOf(id), now);
     }
     if (head.load) {
-        m_state.book.reported(id, head.load->running, head.load->waiting, now);
+        m_state.tracker.reported(id, head.load->running, head.load->waiting, now);
     }
-    if (head.status != 421 && m_state.book.limitNamed(id, head.requestsPerSecond, now)) {
+    if (head.status != 421 && m_state.tracker.limitNamed(id, head.requestsPerSecond, now)) {
         LogEvent("engine_limit")
                 .field("backend", id.str())
                 .field("per_second", head.requestsPerSecond.value_or(0))
                 .field("named", head.requestsPerSecond.has_value())
                 .field("by", "answer")
                 .field("id", m_request.id);
-        m_state.tellPeers();
+        m_state.notifyPeers();
     }
     if (head.weights && !m_request.model.empty()) {
-        m_state.book.sawWeights(id, m_request.model, *head.weights);
+        m_state.tracker.sawWeights(id, m_request.model, *head.weights);
     }
     if (head.status == 421) {
         if (choice.weights != 0) {
-            m_state.book.doubtWeights(id, m_request.model, now);
+            m_state.tracker.doubtWeights(id, m_request.model, now);
         } else {
-            m_state.book.close(id, now);
+            m_state.tracker.close(id, now);
         }
     } else if (head.isNotExecuted) {
-        m_state.book.close(id, now);
+        m_state.tracker.close(id, now);
     }
 }
 
-int Exchange::mostSends() const
+int Exchange::maxSends() const
 {
-    return m_headWritten ? MostResumes : MostSends;
+    return m_headWritten ? MaxStreamSends : MaxSends;
 }
 
-bool Exchange::mayRepeat() const
+bool Exchange::isRepeatable() const
 {
     return m_route->kind == RequestKind::Safe
            || (m_route->kind == RequestKind::Stream && m_route->isResumable);
 }
 
-bool Exchange::maySendAgain(TryEnd end) const
+bool Exchange::mayRetry(TryResult end) const
 {
-    if (m_budgetSpent || m_sends >= mostSends()) {
+    if (m_budgetSpent || m_sends >= maxSends()) {
         return false;
     }
-    if (end == TryEnd::NotExecuted) {
+    if (end == TryResult::NotExecuted) {
         return true;
     }
-    const bool isResume = end == TryEnd::Interrupted;
-    if (isResume && (m_events.lastId().empty() || !m_state.settings.resumes)) {
+    const bool isResume = end == TryResult::Interrupted;
+    if (isResume && (m_events.lastId().empty() || !m_state.settings.resumesStreams)) {
         return false;
     }
-    return (isResume || m_state.settings.sendsAgain) && mayRepeat()
+    return (isResume || m_state.settings.retriesRequests) && isRepeatable()
            && m_runs < m_route->mostBackends;
 }
 
-void Exchange::setPatience(std::optional<TimePoint> until)
+void Exchange::setAnswerDeadline(std::optional<TimePoint> until)
 {
-    m_patienceEnd = until;
-    scheduleDue(MonotonicClock::now());
+    m_answerDeadline = until;
+    scheduleTimer(MonotonicClock::now());
 }
 
-std::optional<TimePoint> Exchange::beginBy() const
+std::optional<TimePoint> Exchange::withdrawalTime() const
 {
     const bool waits = m_connection != nullptr && !m_firstByteAt && m_choice;
-    if (!waits || !m_state.settings.withdraws) {
+    if (!waits || !m_state.settings.withdrawsRequests) {
         return std::nullopt;
     }
-    const auto end = m_state.book.weightsEnd(m_choice->backend.id, m_request.model);
+    const auto end = m_state.tracker.weightsEnd(m_choice->backend.id, m_request.model);
     return end ? std::optional(*end - WithdrawMargin) : std::nullopt;
 }
 
-void Exchange::scheduleDue(TimePoint now)
+void Exchange::scheduleTimer(TimePoint now)
 {
-    TimePoint next = m_patienceEnd ? std::min(*m_patienceEnd, m_deadline) : m_deadline;
+    TimePoint next = m_answerDeadline ? std::min(*m_answerDeadline, m_deadline) : m_deadline;
     if (!m_request.model.empty()) {
-        // New weights may be named while the request waits.
-        next = std::min(next, beginBy().value_or(now + WeightsCheck));
+        // New weights may be announced while the request waits.
+        next = std::min(next, withdrawalTime().value_or(now + WeightsCheckInterval));
     }
-    m_timed->dueAt = next;
+    m_deadlineTimer->dueAt = next;
 }
 
-void Exchange::due()
+void Exchange::onDeadline()
 {
     const TimePoint now = MonotonicClock::now();
     if (now >= m_deadline) {
@@ -664,45 +679,48 @@
     }
     ErrorCode ignored;
     if (m_connection != nullptr && m_connection->socket.available(ignored) > 0) {
-        // The answer is here and only this node is behind.
-        m_patienceEnd = m_patienceEnd ? std::optional(now + UnreadPatience) : std::nullopt;
-        scheduleDue(now);
+        // Data has arrived and this node has not read it yet, so the server is not unresponsive.
+        m_answerDeadline =
+                m_answerDeadline ? std::optional(now + UnreadDataExtension) : std::nullopt;
+        scheduleTimer(now);
         return;
     }
-    const std::optional<TimePoint> begins = beginBy();
+    const std::optional<TimePoint> begins = withdrawalTime();
     if (begins && now >= *begins) {
-        // It would begin on weights whose time is over; another server has newer ones.
+        // Withdraw the request: it would begin on expired weights, and another server has newer
+        // ones.
         m_state.metrics.count("requests_withdrawn_total");
         m_stalled = true;
         abortTry();
         return;
     }
-    if (m_patienceEnd && now >= *m_patienceEnd) {
-        m_patienceEnd.reset();
-        if (reserveSecondSend(now)) {
+    if (m_answerDeadline && now >= *m_answerDeadline) {
+        m_answerDeadline.reset();
+        if (reserveRetry(now)) {
             m_stalled = true;
             abortTry();
             return;
         }
     }
-    scheduleDue(now);
+    scheduleTimer(now);
 }
 
-bool Exchange::reserveSecondSend(TimePoint now)
+bool Exchange::reserveRetry(TimePoint now)
 {
-    const bool isAllowed = m_headWritten ? m_state.settings.resumes : m_state.settings.sendsAgain;
-    if (!isAllowed || m_sends >= mostSends() || m_runs >= m_route->mostBackends) {
+    const bool isAllowed =
+            m_headWritten ? m_state.settings.resumesStreams : m_state.settings.retriesRequests;
+    if (!isAllowed || m_sends >= maxSends() || m_runs >= m_route->mostBackends) {
         return false;
     }
     BackendQuery elsewhere = query();
     if (m_choice) {
         elsewhere.exclude.push_back(m_choice->backend.id);
     }
-    if (!m_state.book.choose(elsewhere, now)) {
+    if (!m_state.tracker.choose(elsewhere, now)) {
         return false;
     }
-    m_hasSecondSend = m_hasSecondSend || m_state.budget.spend(m_service, now);
-    return m_hasSecondSend;
+    m_hasReservedRetry = m_hasReservedRetry || m_state.retryBudget.spend(m_service, now);
+    return m_hasReservedRetry;
 }
 
 void Exchange::abortTry()
@@ -713,9 +731,9 @@
     }
 }
 
-void Exchange::callerLeft()
+void Exchange::callerDisconnected()
 {
-    m_callerLeft = true;
+    m_callerDisconnected = true;
     abortTry();
 }
 
--- a/src/vanilladyke/traffic/exchange_test.cpp
+++ b/src/vanilladyke/traffic/exchange_test.cpp
@@ -29,7 +29,7 @@
     for (;;) {
         ErrorCode error;
         Tcp::socket socket(m_context);
-        co_await m_acceptor.async_accept(socket, into(error));
+        co_await m_acceptor.async_accept(socket, redirectError(error));
         if (error) {
             co_return;
         }
@@ -43,61 +43,62 @@
     for (;;) {
         http::request<http::string_body> request;
         ErrorCode error;
-        co_await http::async_read(socket, buffer, request, into(error));
+        co_await http::async_read(socket, buffer, request, redirectError(error));
         if (error) {
             co_return;
         }
-        SeenRequest read{std::string(request.target()), {}, request.body(), number};
+        ReceivedRequest read{std::string(request.target()), {}, request.body(), number};
         for (const auto &field : request) {
             read.fields[std::string(field.name_string())] = std::string(field.value());
         }
-        seen.push_back(read);
+        received.push_back(read);
         const ScriptedAnswer answer = m_script(read);
         if (answer.after > Duration::zero()) {
             asio::steady_timer timer(m_context, answer.after);
-            co_await timer.async_wait(into(error));
+            co_await timer.async_wait(redirectError(error));
         }
-        co_await asio::async_write(socket, asio::buffer(answer.bytes), into(error));
-        if (answer.then == ScriptedAnswer::Then::Reset) {
+        co_await asio::async_write(socket, asio::buffer(answer.bytes), redirectError(error));
+        if (answer.nextAction == ScriptedAnswer::NextAction::Reset) {
             socket.set_option(asio::socket_base::linger(true, 0), error);
             co_return;
         }
-        if (answer.then == ScriptedAnswer::Then::Close) {
+        if (answer.nextAction == ScriptedAnswer::NextAction::Close) {
             co_return;
         }
-        if (answer.then == ScriptedAnswer::Then::Silence) {
+        if (answer.nextAction == ScriptedAnswer::NextAction::Hang) {
             std::array<char, 1> byte{};
-            co_await socket.async_read_some(asio::buffer(byte), into(error));
+            co_await socket.async_read_some(asio::buffer(byte), redirectError(error));
             ++closedByPeer;
             co_return;
         }
     }
 }
 
-Dialect plainDialect()
+Dialect testDialect()
 {
     Dialect dialect;
-    dialect.readCaller = [](const HttpFields &fields,
-                            TimePoint now) -> Outcome<CallerRequest, BadHead> {
+    dialect.parseRequest = [](const HttpFields &fields,
+                              TimePoint now) -> Outcome<CallerRequest, MalformedHead> {
         CallerRequest request;
         request.arrived = now;
         request.host = std::string(fields["Host"]);
         request.id = std::string(fields["Id"]);
         request.model = ModelId(std::string(fields["Model"]));
-        request.passedOn = "Id: " + request.id + "\r\n";
+        request.forwardedHeaders = "Id: " + request.id + "\r\n";
         if (fields.count("Key") > 0) {
             request.key = std::string(fields["Key"]);
         }
         return request;
     };
-    dialect.writeTerms = [](const SendTerms &terms, TimePoint /*now*/, std::string *lines) {
-        *lines += "Expect-Engine: " + terms.expected.str() + "\r\nCustomer: " + terms.customer.str()
-                  + "\r\n";
-        if (!terms.resumeAfter.empty()) {
-            *lines += "Resume: " + terms.resumeAfter + "\r\n";
+    dialect.writeOptions = [](const BackendRequestOptions &options, TimePoint /*now*/,
+                              std::string *lines) {
+        *lines += "Expect-Engine: " + options.expectedEngine.str()
+                  + "\r\nCustomer: " + options.customer.str() + "\r\n";
+        if (!options.resumeAfter.empty()) {
+            *lines += "Resume: " + options.resumeAfter + "\r\n";
         }
     };
-    dialect.readAnswer = [](int status, const HttpFields &fields) {
+    dialect.parseAnswer = [](int status, const HttpFields &fields) {
         AnswerHead head;
         head.status = status;
         head.reason = "R";
@@ -105,7 +106,7 @@
         head.isStamped = fields.count("Stamp") > 0;
         head.isNotExecuted = fields.count("Refused") > 0;
         head.isEncoded = fields.count("Content-Encoding") > 0;
-        head.passedOn = "Stamp: " + std::string(fields["Stamp"]) + "\r\n";
+        head.forwardedHeaders = "Stamp: " + std::string(fields["Stamp"]) + "\r\n";
         return head;
     };
     return dialect;
@@ -114,7 +115,7 @@
 namespace {
 
 using std::chrono::milliseconds;
-using Then = ScriptedAnswer::Then;
+using NextAction = ScriptedAnswer::NextAction;
 
 std::string answer(const std::string &id, const std::string &body, int status = 200,
                    const std::string &extra = {})
@@ -136,18 +137,18 @@
     return size.data() + event + "\r\n";
 }
 
-/// One caller and a few scripted servers around the traffic core, on one thread.
+/// Runs the traffic core with one caller and several scripted backend servers on one thread.
 class ExchangeTest : public ::testing::Test
 {
 protected:
     ExchangeTest()
-        : m_state(m_context, plainDialect(), settings(), 1)
+        : m_state(m_context, testDialect(), settings(), 1)
         , m_acceptor(m_context, Tcp::endpoint(asio::ip::address_v4::loopback(), 0))
     {
-        m_state.configAge = [this] { return m_age; };
-        m_state.budget.setTerms({0.2, 1000, std::chrono::seconds(10), 1});
+        m_state.configAge = [this] { return m_configAge; };
+        m_state.retryBudget.setTerms({0.2, 1000, std::chrono::seconds(10), 1});
         m_state.ticker.start();
-        put(RequestKind::Safe, false);
+        setRoute(RequestKind::Safe, false);
     }
 
     static TrafficSettings settings()
@@ -157,8 +158,8 @@
         return result;
     }
 
-    void put(RequestKind kind, bool isResumable, Duration timeout = std::chrono::seconds(5),
-             Duration target = std::chrono::seconds(2), int mostBackends = 2)
+    void setRoute(RequestKind kind, bool isResumable, Duration timeout = std::chrono::seconds(5),
+                  Duration target = std::chrono::seconds(2), int mostBackends = 2)
     {
         RoutingConfig config;
         Route route;
@@ -177,18 +178,19 @@
         m_state.table = std::make_shared<const RouteTable>(config);
     }
 
-    ScriptedBackend &serve(ScriptedBackend::Script script)
+    ScriptedBackend &addBackend(ScriptedBackend::Script script)
     {
         m_backends.push_back(std::make_unique<ScriptedBackend>(m_context, std::move(script)));
         BackendEntry entry;
         entry.id = EngineId("e" + std::to_string(m_backends.size()));
         entry.service = ServiceId("s");
         entry.endpoint = m_backends.back()->endpoint();
-        // The first is the nearest, so that the order of tries is known.
+        // The first server is in the node's data centre, which makes the order of tries
+        // deterministic.
         entry.dataCentre = DataCentreId(m_backends.size() == 1 ? "here" : "there");
         entry.slots = 8;
         m_entries.push_back(entry);
-        m_state.book.setBackends(m_entries);
+        m_state.tracker.setBackends(m_entries);
         return *m_backends.back();
     }
 
@@ -207,7 +209,7 @@
 
     void send(const std::string &bytes) { asio::write(*m_caller, asio::buffer(bytes)); }
 
-    /// Reads an answer from the caller's connection. @return its status; 0 if it ended early
+    /// Reads an answer from the caller's connection. @return its status; 0 if it is incomplete
     int receive(std::string *body = nullptr)
     {
         http::response_parser<http::string_body> parser;
@@ -242,7 +244,7 @@
     asio::io_context m_context;
     TrafficState m_state;
     Tcp::acceptor m_acceptor;
-    Duration m_age{};
+    Duration m_configAge{};
     std::vector<std::unique_ptr<ScriptedBackend>> m_backends;
     std::vector<BackendEntry> m_entries;
     std::unique_ptr<Tcp::socket> m_caller;
@@ -250,183 +252,188 @@
     std::string m_body;
 };
 
-ScriptedAnswer good(const SeenRequest &seen)
+ScriptedAnswer good(const ReceivedRequest &received)
 {
-    return {answer(seen.fields.at("Id"), "body"), Then::KeepOpen};
+    return {answer(received.fields.at("Id"), "body"), NextAction::KeepOpen};
 }
 
-ScriptedAnswer refused(const SeenRequest &seen)
+ScriptedAnswer refused(const ReceivedRequest &received)
 {
-    return {answer(seen.fields.at("Id"), "", 503, "Refused: 1\r\n"), Then::KeepOpen};
+    return {answer(received.fields.at("Id"), "", 503, "Refused: 1\r\n"), NextAction::KeepOpen};
 }
 
-TEST_F(ExchangeTest, PassesTheWholeAnswerAndReusesTheConnection)
+TEST_F(ExchangeTest, ForwardsTheCompleteAnswerAndReusesTheConnection)
 {
-    auto &backend = serve(good);
+    auto &backend = addBackend(good);
     std::string body;
     EXPECT_EQ(ask("1", &body), 200);
     EXPECT_EQ(body, "body");
     send(request("2"));
     EXPECT_EQ(receive(), 200);
-    ASSERT_EQ(backend.seen.size(), 2U);
-    EXPECT_EQ(backend.seen[1].connection, 1);
-    EXPECT_EQ(backend.seen[0].body, "hi");
-    EXPECT_EQ(backend.seen[0].fields.at("Expect-Engine"), "e1");
-    EXPECT_EQ(backend.seen[0].fields.at("Customer"), "c");
-    EXPECT_FALSE(backend.seen[0].fields.contains("Key"));
+    ASSERT_EQ(backend.received.size(), 2U);
+    EXPECT_EQ(backend.received[1].connection, 1);
+    EXPECT_EQ(backend.received[0].body, "hi");
+    EXPECT_EQ(backend.received[0].fields.at("Expect-Engine"), "e1");
+    EXPECT_EQ(backend.received[0].fields.at("Customer"), "c");
+    EXPECT_FALSE(backend.received[0].fields.contains("Key"));
 }
 
-TEST_F(ExchangeTest, ARequestThatAServerRefusedGoesToAnotherOne)
+TEST_F(ExchangeTest, RetriesARequestThatAServerRefused)
 {
-    put(RequestKind::Unsafe, false);
-    serve(refused);
-    auto &second = serve(good);
+    setRoute(RequestKind::Unsafe, false);
+    addBackend(refused);
+    auto &second = addBackend(good);
     EXPECT_EQ(ask("1"), 200);
-    EXPECT_EQ(second.seen.size(), 1U);
+    EXPECT_EQ(second.received.size(), 1U);
 }
 
-TEST_F(ExchangeTest, WhenAllServersRefuseTheCallerHearsThatItDidNotRun)
+TEST_F(ExchangeTest, ReportsNotRunWhenAllServersRefuse)
 {
-    put(RequestKind::Unsafe, false);
-    serve(refused);
-    serve(refused);
+    setRoute(RequestKind::Unsafe, false);
+    addBackend(refused);
+    addBackend(refused);
     EXPECT_EQ(ask("1"), 503);
     EXPECT_NE(m_body.find(R"("ran":"no")"), std::string::npos);
 }
 
-// A booking's connection is reset after the request went out. It may have run: sent again, two
-// brands could have one panel; called "not run", the caller would send it again itself.
-TEST_F(ExchangeTest, ALostRequestThatMayNotRepeatIsNeitherSentAgainNorCalledNotRun)
+// The connection is reset after a booking request was sent, so the request may have run. A retry,
+// or a caller that is told "not run" and repeats it, could book the same panel for two brands.
+TEST_F(ExchangeTest, ALostUnsafeRequestIsNeitherRetriedNorReportedNotRun)
 {
-    put(RequestKind::Unsafe, false);
-    serve([](const SeenRequest &) { return ScriptedAnswer{"", Then::Reset}; });
-    auto &second = serve(good);
+    setRoute(RequestKind::Unsafe, false);
+    addBackend([](const ReceivedRequest &) { return ScriptedAnswer{"", NextAction::Reset}; });
+    auto &second = addBackend(good);
     EXPECT_EQ(ask("1"), 502);
-    EXPECT_TRUE(second.seen.empty());
+    EXPECT_TRUE(second.received.empty());
     EXPECT_NE(m_body.find(R"("ran":"unknown")"), std::string::npos);
 }
 
-TEST_F(ExchangeTest, ALostRequestThatMayRepeatIsSentAgain)
+TEST_F(ExchangeTest, ALostSafeRequestIsRetried)
 {
-    serve([](const SeenRequest &) { return ScriptedAnswer{"", Then::Reset}; });
-    serve(good);
+    addBackend([](const ReceivedRequest &) { return ScriptedAnswer{"", NextAction::Reset}; });
+    addBackend(good);
     EXPECT_EQ(ask("1"), 200);
 }
 
-TEST_F(ExchangeTest, AFailureOfEveryServerIsPassedOnAsItWasGiven)
+TEST_F(ExchangeTest, ForwardsTheFailureWhenEveryServerFails)
 {
-    const auto fails = [](const SeenRequest &seen) {
-        return ScriptedAnswer{answer(seen.fields.at("Id"), "broken", 500), Then::KeepOpen};
+    const auto fails = [](const ReceivedRequest &received) {
+        return ScriptedAnswer{answer(received.fields.at("Id"), "broken", 500),
+                              NextAction::KeepOpen};
     };
-    serve(fails);
-    serve(fails);
+    addBackend(fails);
+    addBackend(fails);
     EXPECT_EQ(ask("1"), 500);
     EXPECT_EQ(m_body, "broken");
 }
 
-// An engine crashes in the middle of an event. The caller has to get every event once, in order.
-TEST_F(ExchangeTest, ABrokenStreamGoesOnBehindTheLastWholeEvent)
+// An engine crashes in the middle of an event. The caller has to receive every event once and in
+// order.
+TEST_F(ExchangeTest, AnInterruptedStreamResumesAfterTheLastCompleteEvent)
 {
-    put(RequestKind::Stream, true);
-    serve([](const SeenRequest &seen) {
-        return ScriptedAnswer{streamHead(seen.fields.at("Id")) + eventChunk(1) + eventChunk(2)
+    setRoute(RequestKind::Stream, true);
+    addBackend([](const ReceivedRequest &received) {
+        return ScriptedAnswer{streamHead(received.fields.at("Id")) + eventChunk(1) + eventChunk(2)
                                       + "5\r\nid: 3\r\n",
-                              Then::Reset};
+                              NextAction::Reset};
     });
-    auto &second = serve([](const SeenRequest &seen) {
-        return ScriptedAnswer{streamHead(seen.fields.at("Id")) + eventChunk(3) + "0\r\n\r\n",
-                              Then::KeepOpen};
+    auto &second = addBackend([](const ReceivedRequest &received) {
+        return ScriptedAnswer{streamHead(received.fields.at("Id")) + eventChunk(3) + "0\r\n\r\n",
+                              NextAction::KeepOpen};
     });
     EXPECT_EQ(ask("1"), 200);
     EXPECT_EQ(m_body, "id: 1\ndata: d\n\nid: 2\ndata: d\n\nid: 3\ndata: d\n\n");
-    ASSERT_EQ(second.seen.size(), 1U);
-    EXPECT_EQ(second.seen[0].fields.at("Resume"), "2");
+    ASSERT_EQ(second.received.size(), 1U);
+    EXPECT_EQ(second.received[0].fields.at("Resume"), "2");
 }
 
-// An engine is lost under overload, and the others refuse what comes: the caller has half of an
-// answer and would lose it although an engine has room some milliseconds later.
-TEST_F(ExchangeTest, ABrokenStreamIsTakenUpByAnEngineThatRefusedAtFirst)
+// An engine fails under overload and the others refuse at first. Without another attempt the caller
+// would lose a half-delivered answer although an engine has room a few milliseconds later.
+TEST_F(ExchangeTest, AnInterruptedStreamResumesOnAnEngineThatRefusedAtFirst)
 {
-    put(RequestKind::Stream, true);
-    serve([](const SeenRequest &seen) {
-        const bool isFirst = !seen.fields.contains("Resume");
-        return isFirst ? ScriptedAnswer{streamHead(seen.fields.at("Id")) + eventChunk(1),
-                                        Then::Reset}
-                       : refused(seen);
+    setRoute(RequestKind::Stream, true);
+    addBackend([](const ReceivedRequest &received) {
+        const bool isFirst = !received.fields.contains("Resume");
+        return isFirst ? ScriptedAnswer{streamHead(received.fields.at("Id")) + eventChunk(1),
+                                        NextAction::Reset}
+                       : refused(received);
     });
     int asked = 0;
-    serve([&asked](const SeenRequest &seen) {
-        return ++asked <= 2 ? refused(seen)
-                            : ScriptedAnswer{streamHead(seen.fields.at("Id")) + eventChunk(2)
+    addBackend([&asked](const ReceivedRequest &received) {
+        return ++asked <= 2 ? refused(received)
+                            : ScriptedAnswer{streamHead(received.fields.at("Id")) + eventChunk(2)
                                                      + "0\r\n\r\n",
-                                             Then::KeepOpen};
+                                             NextAction::KeepOpen};
     });
     EXPECT_EQ(ask("1"), 200);
     EXPECT_EQ(m_body, "id: 1\ndata: d\n\nid: 2\ndata: d\n\n");
 }
 
-// The stream's engine is gone and the stream may not run twice. An end that looks complete would
-// give the caller half a campaign text as the whole.
-TEST_F(ExchangeTest, ABrokenStreamThatMayNotRepeatDoesNotLookWhole)
+// The engine of a stream that may not run twice fails. A regular end of the stream would make the
+// caller take half a campaign text for the complete one.
+TEST_F(ExchangeTest, AnInterruptedUnsafeStreamDoesNotEndRegularly)
 {
-    put(RequestKind::Stream, false);
-    serve([](const SeenRequest &seen) {
-        return ScriptedAnswer{streamHead(seen.fields.at("Id")) + eventChunk(1), Then::Close};
+    setRoute(RequestKind::Stream, false);
+    addBackend([](const ReceivedRequest &received) {
+        return ScriptedAnswer{streamHead(received.fields.at("Id")) + eventChunk(1),
+                              NextAction::Close};
     });
     EXPECT_EQ(ask("1"), 0);
 }
 
-// A server answers a former request a second time, just as the next request comes in.
-TEST_F(ExchangeTest, AnAnswerToAnotherRequestIsNotGivenToThisCaller)
+// A server sends a duplicate answer to an earlier request on the connection of the next one.
+TEST_F(ExchangeTest, AnAnswerToAnotherRequestIsNotForwarded)
 {
-    auto &backend = serve([](const SeenRequest &seen) {
-        const std::string &id = seen.fields.at("Id");
-        return ScriptedAnswer{answer("other", "foreign") + answer(id, "own"), Then::KeepOpen};
+    auto &backend = addBackend([](const ReceivedRequest &received) {
+        const std::string &id = received.fields.at("Id");
+        return ScriptedAnswer{answer("other", "foreign") + answer(id, "own"), NextAction::KeepOpen};
     });
     EXPECT_EQ(ask("1"), 200);
     EXPECT_EQ(m_body, "own");
     send(request("2"));
     EXPECT_EQ(receive(), 200);
-    EXPECT_EQ(backend.seen[1].connection, 2) << "a connection in doubt is not used again";
+    EXPECT_EQ(backend.received[1].connection, 2)
+            << "a connection with a stray answer must not be reused";
 }
 
-TEST_F(ExchangeTest, BytesBehindAnAnswerEndTheConnection)
+TEST_F(ExchangeTest, BytesAfterAnAnswerCloseTheConnection)
 {
-    auto &backend = serve([](const SeenRequest &seen) {
-        return ScriptedAnswer{answer(seen.fields.at("Id"), "own") + "junk", Then::KeepOpen};
+    auto &backend = addBackend([](const ReceivedRequest &received) {
+        return ScriptedAnswer{answer(received.fields.at("Id"), "own") + "junk",
+                              NextAction::KeepOpen};
     });
     EXPECT_EQ(ask("1"), 200);
     EXPECT_EQ(m_body, "own");
     send(request("2"));
     EXPECT_EQ(receive(), 200);
-    EXPECT_EQ(backend.seen[1].connection, 2);
+    EXPECT_EQ(backend.received[1].connection, 2);
 }
 
-TEST_F(ExchangeTest, AnAnswerThatEndsWithItsConnectionIsWhole)
+TEST_F(ExchangeTest, AnAnswerDelimitedByTheEndOfItsConnectionIsComplete)
 {
-    serve([](const SeenRequest &seen) {
-        return ScriptedAnswer{"HTTP/1.1 200 OK\r\nId: " + seen.fields.at("Id")
+    addBackend([](const ReceivedRequest &received) {
+        return ScriptedAnswer{"HTTP/1.1 200 OK\r\nId: " + received.fields.at("Id")
                                       + "\r\nStamp: s\r\n\r\nunframed",
-                              Then::Close};
+                              NextAction::Close};
     });
     EXPECT_EQ(ask("1"), 200);
     EXPECT_EQ(m_body, "unframed");
 }
 
-TEST_F(ExchangeTest, ACutOrEncodedOrUnstampedAnswerIsNoSuccess)
+TEST_F(ExchangeTest, ATruncatedOrEncodedOrUnstampedAnswerIsNoSuccess)
 {
-    put(RequestKind::Unsafe, false);
-    serve([](const SeenRequest &seen) {
-        const std::string &id = seen.fields.at("Id");
+    setRoute(RequestKind::Unsafe, false);
+    addBackend([](const ReceivedRequest &received) {
+        const std::string &id = received.fields.at("Id");
         if (id == "cut") {
-            return ScriptedAnswer{answer(id, "body").substr(0, 58), Then::Close};
+            return ScriptedAnswer{answer(id, "body").substr(0, 58), NextAction::Close};
         }
         if (id == "encoded") {
             return ScriptedAnswer{answer(id, "body", 200, "Content-Encoding: gzip\r\n"),
-                                  Then::Close};
+                                  NextAction::Close};
         }
         return ScriptedAnswer{"HTTP/1.1 200 OK\r\nId: " + id + "\r\nContent-Length: 0\r\n\r\n",
-                              Then::Close};
+                              NextAction::Close};
     });
     for (const char *id : {"cut", "encoded", "unstamped"}) {
         m_buffer.clear();
@@ -434,58 +441,62 @@
     }
 }
 
-// A caller closes its connection while an engine works for it. The engine's slot is wanted by
-// others.
-TEST_F(ExchangeTest, WhenTheCallerLeavesTheServerIsToldAtOnce)
+// A caller disconnects while an engine runs its request. The engine's slot has to be released for
+// other requests.
+TEST_F(ExchangeTest, ADisconnectOfTheCallerClosesTheServerConnection)
 {
-    put(RequestKind::Stream, false);
-    auto &backend = serve([](const SeenRequest &) { return ScriptedAnswer{"", Then::Silence}; });
+    setRoute(RequestKind::Stream, false);
+    auto &backend = addBackend([](const ReceivedRequest &) {
+        return ScriptedAnswer{"", NextAction::Hang};
+    });
     connect();
     send(request("1"));
-    runUntil([&] { return backend.seen.size() == 1; });
+    runUntil([&] { return backend.received.size() == 1; });
     m_caller->close();
     runUntil([&] { return backend.closedByPeer == 1; });
-    EXPECT_EQ(backend.seen.size(), 1U);
+    EXPECT_EQ(backend.received.size(), 1U);
 }
 
-TEST_F(ExchangeTest, ARequestIsAnsweredAtItsRoutesTimeout)
+TEST_F(ExchangeTest, AnswersAtTheRoutesTimeout)
 {
-    put(RequestKind::Unsafe, false, milliseconds(150));
-    auto &backend = serve([](const SeenRequest &) { return ScriptedAnswer{"", Then::Silence}; });
+    setRoute(RequestKind::Unsafe, false, milliseconds(150));
+    auto &backend = addBackend([](const ReceivedRequest &) {
+        return ScriptedAnswer{"", NextAction::Hang};
+    });
     EXPECT_EQ(ask("1"), 504);
     runUntil([&] { return backend.closedByPeer == 1; });
 }
 
-TEST_F(ExchangeTest, AServerThatCanNotBeReachedLeavesTheRequestNotRun)
+TEST_F(ExchangeTest, ReportsNotRunWhenTheServerIsUnreachable)
 {
-    put(RequestKind::Unsafe, false);
+    setRoute(RequestKind::Unsafe, false);
     BackendEntry gone;
     gone.id = EngineId("gone");
     gone.service = ServiceId("s");
     Tcp::acceptor closed(m_context, Tcp::endpoint(asio::ip::address_v4::loopback(), 0));
     gone.endpoint = {"127.0.0.1", closed.local_endpoint().port()};
     closed.close();
-    m_state.book.setBackends({gone});
+    m_state.tracker.setBackends({gone});
     EXPECT_EQ(ask("1"), 503);
     EXPECT_NE(m_body.find(R"("ran":"no")"), std::string::npos);
 }
 
-// The store that holds the keys can't be reached. A key that was taken away meanwhile must not
-// pass, and a caller whose key is good must not hear that it is unknown.
-TEST_F(ExchangeTest, WithoutProofOfTheKeysAgeNothingPassesAndNothingIsDenied)
+// The store with the keys is unreachable. A key that was revoked meanwhile must not be accepted,
+// and a valid key must not be reported as unknown.
+TEST_F(ExchangeTest, WithoutAFreshnessProofKeysAreNeitherAcceptedNorDenied)
 {
-    auto &backend = serve(good);
+    auto &backend = addBackend(good);
     EXPECT_EQ(ask("1"), 200);
-    m_age = std::chrono::seconds(6);
+    m_configAge = std::chrono::seconds(6);
     EXPECT_EQ(ask("2"), 503);
-    EXPECT_EQ(backend.seen.size(), 1U);
+    EXPECT_EQ(backend.received.size(), 1U);
     m_state.table.reset();
     EXPECT_EQ(ask("3"), 503);
 }
 
 TEST_F(ExchangeTest, UnknownRoutesAndKeysAreDenied)
 {
-    serve(good);
+    addBackend(good);
     connect();
     send(request("1", "/b/x"));
     EXPECT_EQ(receive(), 404);
@@ -502,7 +513,7 @@
     connect();
     send("POST /a/ HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\nTransfer-Encoding: "
          "chunked\r\n\r\n0\r\n\r\n");
-    EXPECT_EQ(receive(), 400) << "two lengths would let a second request hide in the body";
+    EXPECT_EQ(receive(), 400) << "two length headers would allow request smuggling";
     m_buffer.clear();
     connect();
     send("POST /a/ HTTP/1.1\r\nHost: h\r\nContent-Length: 99999999\r\n\r\n");
@@ -513,97 +524,101 @@
     EXPECT_EQ(receive(), 431);
 }
 
-// All processes were killed, and clients reach a node that has its configuration and not yet the
-// list of servers. It comes some milliseconds later.
-TEST_F(ExchangeTest, ANodeThatJustStartedWaitsForItsListOfServers)
+// After a restart of all processes, a request reaches a node that has its configuration but
+// receives the list of servers only some milliseconds later.
+TEST_F(ExchangeTest, WaitsForTheListOfServersAfterAStart)
 {
     connect();
     send(request("1"));
     asio::steady_timer later(m_context, milliseconds(60));
-    later.async_wait([this](const ErrorCode &) { serve(good); });
+    later.async_wait([this](const ErrorCode &) { addBackend(good); });
     EXPECT_EQ(receive(), 200);
 }
 
-// Beside a change of the configuration engines were crowded, and a stream's first event came after
-// nine tenths of a second. The node had broken off by then, although the budget allowed no second
-// send: the caller got half of an answer that the engine was about to give as a whole.
-TEST_F(ExchangeTest, ASlowServerIsWaitedForIfNoOtherOneMayBeAsked)
+// Guards against aborting a slow try when the retry budget allows no retry. During a configuration
+// change engines were overloaded and a stream's first event took nine tenths of a second; the node
+// aborted it and the caller received half of an answer that the engine was about to complete.
+TEST_F(ExchangeTest, WaitsForASlowServerIfNoRetryIsAllowed)
 {
-    put(RequestKind::Stream, true, std::chrono::seconds(5), milliseconds(20));
-    m_state.budget.setTerms({0, 0, std::chrono::seconds(10), 1});
-    auto &slow = serve([](const SeenRequest &seen) {
-        return ScriptedAnswer{streamHead(seen.fields.at("Id")) + eventChunk(1) + "0\r\n\r\n",
-                              Then::KeepOpen, milliseconds(600)};
+    setRoute(RequestKind::Stream, true, std::chrono::seconds(5), milliseconds(20));
+    m_state.retryBudget.setTerms({0, 0, std::chrono::seconds(10), 1});
+    auto &slow = addBackend([](const ReceivedRequest &received) {
+        return ScriptedAnswer{streamHead(received.fields.at("Id")) + eventChunk(1) + "0\r\n\r\n",
+                              NextAction::KeepOpen, milliseconds(600)};
     });
-    serve(good);
+    addBackend(good);
     EXPECT_EQ(ask("1"), 200);
     EXPECT_EQ(m_body, "id: 1\ndata: d\n\n");
-    EXPECT_EQ(slow.seen.size(), 1U);
+    EXPECT_EQ(slow.received.size(), 1U);
 }
 
-// A stream broke off and waits to go on at an engine on old weights, whose time runs out meanwhile.
-// It would begin there on weights that no request may begin on any more.
-TEST_F(ExchangeTest, AResumedStreamIsWithdrawnBeforeTheTimeOfOldWeightsIsOver)
+// An interrupted stream waits for an engine on old weights when these expire. If it is not
+// withdrawn, it begins on weights on which no request may begin any more.
+TEST_F(ExchangeTest, AResumedStreamIsWithdrawnBeforeOldWeightsExpire)
 {
-    put(RequestKind::Stream, true, std::chrono::seconds(5), std::chrono::seconds(2), 3);
-    serve([](const SeenRequest &seen) {
-        return ScriptedAnswer{streamHead(seen.fields.at("Id")) + eventChunk(1), Then::Close};
+    setRoute(RequestKind::Stream, true, std::chrono::seconds(5), std::chrono::seconds(2), 3);
+    addBackend([](const ReceivedRequest &received) {
+        return ScriptedAnswer{streamHead(received.fields.at("Id")) + eventChunk(1),
+                              NextAction::Close};
+    });
+    auto &old = addBackend([](const ReceivedRequest &) {
+        return ScriptedAnswer{"", NextAction::Hang};
     });
-    auto &old = serve([](const SeenRequest &) { return ScriptedAnswer{"", Then::Silence}; });
-    serve([](const SeenRequest &seen) {
-        return ScriptedAnswer{streamHead(seen.fields.at("Id")) + eventChunk(2) + "0\r\n\r\n",
-                              Then::KeepOpen};
+    addBackend([](const ReceivedRequest &received) {
+        return ScriptedAnswer{streamHead(received.fields.at("Id")) + eventChunk(2) + "0\r\n\r\n",
+                              NextAction::KeepOpen};
     });
     const ModelId model("m");
     for (std::size_t i = 0; i < m_entries.size(); ++i) {
         m_entries[i].weights[model] = i == 2 ? 2 : 1;
     }
-    m_state.book.setBackends(m_entries);
+    m_state.tracker.setBackends(m_entries);
     const TimePoint now = MonotonicClock::now();
-    constexpr Duration Left = milliseconds(2500); // open to choices, soon to be withdrawn from
+    constexpr Duration Left = milliseconds(2500); // still available, but withdrawn from soon
     const TimePoint namedAt = now + Left - m_state.settings.rates.weightsTime;
-    m_state.book.weightsNamed({model, {2, namedAt, namedAt}}, DateGrounds::Read, now);
-    m_state.book.loading(EngineId("e3"), now + Left / 2);
+    m_state.tracker.weightsNamed({model, {2, namedAt, namedAt}}, DateGrounds::Read, now);
+    m_state.tracker.loading(EngineId("e3"), now + Left / 2);
     connect();
     send("POST /a/x HTTP/1.1\r\nHost: h\r\nKey: k\r\nModel: m\r\nId: 1\r\nContent-Length: "
          "2\r\n\r\nhi");
     EXPECT_EQ(receive(), 200);
     EXPECT_EQ(m_body, "id: 1\ndata: d\n\nid: 2\ndata: d\n\n");
-    EXPECT_EQ(old.seen.size(), 1U);
+    EXPECT_EQ(old.received.size(), 1U);
     EXPECT_EQ(old.closedByPeer, 1);
 }
 
-// The first engine crashed and the second one is slow; the route allows no third.
-TEST_F(ExchangeTest, TheLastServerThatTheRouteAllowsIsWaitedFor)
+// The first engine crashes and the second one is slow. The route allows no third one, so the second
+// try must not be aborted.
+TEST_F(ExchangeTest, WaitsForTheLastServerThatTheRouteAllows)
 {
-    put(RequestKind::Safe, false, std::chrono::seconds(5), milliseconds(20));
-    serve([](const SeenRequest &) { return ScriptedAnswer{"", Then::Reset}; });
-    const auto late = [](const SeenRequest &seen) {
-        return ScriptedAnswer{answer(seen.fields.at("Id"), "late"), Then::KeepOpen,
+    setRoute(RequestKind::Safe, false, std::chrono::seconds(5), milliseconds(20));
+    addBackend([](const ReceivedRequest &) { return ScriptedAnswer{"", NextAction::Reset}; });
+    const auto late = [](const ReceivedRequest &received) {
+        return ScriptedAnswer{answer(received.fields.at("Id"), "late"), NextAction::KeepOpen,
                               milliseconds(600)};
     };
-    serve(late); // whichever comes second, the other one is open and must not be asked
-    serve(late);
+    addBackend(late); // whichever is chosen second, the other one is available but must not be used
+    addBackend(late);
     EXPECT_EQ(ask("1"), 200);
     EXPECT_EQ(m_body, "late");
 }
 
-TEST_F(ExchangeTest, ASlowServerIsLeftIfAnotherOneMayBeAsked)
+TEST_F(ExchangeTest, RetriesASlowServersRequestIfAllowed)
 {
-    put(RequestKind::Safe, false, std::chrono::seconds(5), milliseconds(20));
-    serve([](const SeenRequest &) { return ScriptedAnswer{"", Then::Silence}; });
-    serve(good);
+    setRoute(RequestKind::Safe, false, std::chrono::seconds(5), milliseconds(20));
+    addBackend([](const ReceivedRequest &) { return ScriptedAnswer{"", NextAction::Hang}; });
+    addBackend(good);
     EXPECT_EQ(ask("1"), 200);
     EXPECT_EQ(m_body, "body");
 }
 
-TEST_F(ExchangeTest, SecondSendsStayWithinTheBudget)
+TEST_F(ExchangeTest, RetriesStayWithinTheBudget)
 {
-    m_state.budget.setTerms({0, 0, std::chrono::seconds(10), 1});
-    serve(refused);
-    auto &second = serve(good);
+    m_state.retryBudget.setTerms({0, 0, std::chrono::seconds(10), 1});
+    addBackend(refused);
+    auto &second = addBackend(good);
     EXPECT_EQ(ask("1"), 503);
-    EXPECT_TRUE(second.seen.empty());
+    EXPECT_TRUE(second.received.empty());
 }
 
 } // namespace
--- a/src/vanilladyke/traffic/traffic_server.cpp
+++ b/src/vanilladyke/traffic/traffic_server.cpp
@@ -11,10 +11,11 @@
 
 namespace {
 
-/// After an accept failed for want of descriptors, others may end meanwhile.
-constexpr Duration AcceptPause = std::chrono::milliseconds(50);
-constexpr Duration PlainTimeout = std::chrono::seconds(5);
-constexpr std::size_t AcceptsBetweenSweeps = 256;
+/// Delay after a failed accept: without file descriptors left, retrying at once would spin until
+/// other connections are closed.
+constexpr Duration AcceptRetryDelay = std::chrono::milliseconds(50);
+constexpr Duration StatusTimeout = std::chrono::seconds(5);
+constexpr std::size_t AcceptsBetweenCleanups = 256;
 
 } // namespace
 
@@ -54,16 +55,16 @@
         return error;
     }
     asio::co_spawn(m_state.context, acceptCallers(), asio::detached);
-    asio::co_spawn(m_state.context, acceptPlain(m_ready), asio::detached);
+    asio::co_spawn(m_state.context, acceptStatusConnections(m_ready), asio::detached);
     if (m_settings.metrics) {
-        asio::co_spawn(m_state.context, acceptPlain(m_metrics), asio::detached);
+        asio::co_spawn(m_state.context, acceptStatusConnections(m_metrics), asio::detached);
     }
     return std::nullopt;
 }
 
 bool TrafficServer::isReady() const
 {
-    if (m_state.isStopping || m_state.table == nullptr || m_state.book.size() == 0) {
+    if (m_state.isDraining || m_state.table == nullptr || m_state.tracker.size() == 0) {
         return false;
     }
     return !m_state.table->needsKeys() || m_state.isFresh();
@@ -74,59 +75,59 @@
     for (;;) {
         Tcp::socket socket(m_state.context);
         ErrorCode error;
-        co_await m_callers.async_accept(socket, into(error));
+        co_await m_callers.async_accept(socket, redirectError(error));
         if (!m_callers.is_open()) {
             co_return;
         }
         if (error) {
-            asio::steady_timer pause(m_state.context, AcceptPause);
-            co_await pause.async_wait(into(error));
+            asio::steady_timer pause(m_state.context, AcceptRetryDelay);
+            co_await pause.async_wait(redirectError(error));
             continue;
         }
         ErrorCode ignored;
         socket.set_option(Tcp::no_delay(true), ignored);
         const auto session = std::make_shared<CallerSession>(m_state, std::move(socket));
         m_sessions.emplace_back(session);
-        if (++m_accepted % AcceptsBetweenSweeps == 0) {
+        if (++m_accepted % AcceptsBetweenCleanups == 0) {
             m_sessions.remove_if([](const auto &each) { return each.expired(); });
         }
         session->start();
     }
 }
 
-asio::awaitable<void> TrafficServer::acceptPlain(Tcp::acceptor &acceptor)
+asio::awaitable<void> TrafficServer::acceptStatusConnections(Tcp::acceptor &acceptor)
 {
     for (;;) {
         Tcp::socket socket(m_state.context);
         ErrorCode error;
-        co_await acceptor.async_accept(socket, into(error));
+        co_await acceptor.async_accept(socket, redirectError(error));
         if (!acceptor.is_open()) {
             co_return;
         }
         if (error) {
-            asio::steady_timer pause(m_state.context, AcceptPause);
-            co_await pause.async_wait(into(error));
+            asio::steady_timer pause(m_state.context, AcceptRetryDelay);
+            co_await pause.async_wait(redirectError(error));
             continue;
         }
-        asio::co_spawn(m_state.context, servePlain(std::move(socket)), asio::detached);
+        asio::co_spawn(m_state.context, serveStatus(std::move(socket)), asio::detached);
     }
 }
 
-asio::awaitable<void> TrafficServer::servePlain(Tcp::socket socket)
+asio::awaitable<void> TrafficServer::serveStatus(Tcp::socket socket)
 {
-    const auto timed = std::make_shared<Timed>();
-    m_state.ticker.add(timed);
-    timed->onDue = [&socket] {
+    const auto deadlineTimer = std::make_shared<DeadlineTimer>();
+    m_state.ticker.add(deadlineTimer);
+    deadlineTimer->onDue = [&socket] {
         ErrorCode ignored;
         socket.close(ignored);
     };
     boost::beast::flat_buffer buffer;
     bool keepsOpen = true;
     while (keepsOpen) {
-        timed->dueAt = MonotonicClock::now() + PlainTimeout;
+        deadlineTimer->dueAt = MonotonicClock::now() + StatusTimeout;
         http::request<http::empty_body> request;
         ErrorCode error;
-        co_await http::async_read(socket, buffer, request, into(error));
+        co_await http::async_read(socket, buffer, request, redirectError(error));
         if (error) {
             break;
         }
@@ -142,33 +143,33 @@
             m_state.metrics.gauge("requests_quarantined",
                                   static_cast<double>(m_state.quarantine.held(now)));
             m_state.metrics.gauge("engines_limited",
-                                  static_cast<double>(m_state.book.limitedEngines()));
+                                  static_cast<double>(m_state.tracker.limitedEngines()));
             body = m_state.metrics.text() + (metricsText ? metricsText() : std::string());
         }
         std::string answer = "HTTP/1.1 " + std::to_string(status) + " "
                              + std::string(http::obsolete_reason(static_cast<http::status>(status)))
                              + "\r\nContent-Type: text/plain\r\nContent-Length: "
                              + std::to_string(body.size()) + "\r\n\r\n" + body;
-        co_await asio::async_write(socket, asio::buffer(answer), into(error));
+        co_await asio::async_write(socket, asio::buffer(answer), redirectError(error));
         if (error) {
             break;
         }
     }
 }
 
-void TrafficServer::announceStop()
+void TrafficServer::beginDrain()
 {
-    m_state.isStopping = true;
+    m_state.isDraining = true;
 }
 
-void TrafficServer::leave()
+void TrafficServer::stopAccepting()
 {
-    m_state.isLeaving = true;
+    m_state.isShuttingDown = true;
     ErrorCode ignored;
     m_callers.close(ignored);
     for (const auto &each : m_sessions) {
         if (const auto session = each.lock()) {
-            session->finish();
+            session->closeWhenIdle();
         }
     }
 }
--- a/src/vanilladyke/traffic/traffic_state.cpp
+++ b/src/vanilladyke/traffic/traffic_state.cpp
@@ -4,11 +4,11 @@
 
 namespace vanilladyke {
 
-void TrafficState::dateWeights(const NamedWeights &weights, DateGrounds grounds,
-                               std::string_view by)
+void TrafficState::recordWeightsDate(const NamedWeights &weights, DateGrounds grounds,
+                                     std::string_view by)
 {
     const TimePoint now = MonotonicClock::now();
-    if (!book.weightsNamed(weights, grounds, now)) {
+    if (!tracker.weightsNamed(weights, grounds, now)) {
         return;
     }
     LogEvent("weights_dated")
