--- a/include/vanilladyke/policy/weights_dates.hpp
+++ b/include/vanilladyke/policy/weights_dates.hpp
@@ -6,51 +6,53 @@
 #include <optional>
 #include <vector>
 
-/// When new weights were named, as far as one node can tell.
+/// Bounds on the time at which new weights were announced, as seen by one node.
 ///
-/// Requests may begin on older weights until a time that counts from the naming, and the store
-/// keeps no times. A node may hear late: its call to the store is answered at the end of a long
-/// wait, or it has just started and finds weights that were named long ago. One that dates them by
-/// when it heard sends requests to engines on older weights after their time is over.
+/// Requests may start on older weights only for a limited time after the announcement, and the
+/// store keeps no timestamps. A node may receive an announcement late: its long-polling call is
+/// answered at the end of the wait, or the node has just started and reads weights that were
+/// announced long before. Counting from the time of receipt would let it send requests to engines
+/// with outdated weights after the deadline.
 ///
-/// So each node keeps two moments. The weights were named after the one at which the records were
-/// last read without them, and no later than the one at which the first node had them. Engines are
-/// closed by the earlier bound; what a node knows better than others it tells them.
+/// Each node therefore keeps two bounds. The weights were announced after the last read of the
+/// records that did not contain them, and no later than the first receipt by any node. Engines are
+/// excluded by the earlier bound. Nodes exchange their bounds, and the better one is kept.
 namespace vanilladyke {
 
-/// @brief What bounds the moment at which weights were named.
+/// @brief Bounds on the time at which a version of the weights was announced.
 struct WeightsDate
 {
     std::uint64_t version = 0;
-    TimePoint namedAfter; ///< the records that were read then didn't have them
-    TimePoint knownAt;    ///< the first moment at which a node is known to have had them
+    TimePoint namedAfter; ///< last read of the records that did not contain them
+    TimePoint knownAt;    ///< earliest known receipt by any node
 
     bool operator==(const WeightsDate &) const = default;
 };
 
-/// @brief What the lower bound of a date rests on, the weakest first.
+/// @brief Where the lower bound comes from, the least reliable source first.
 enum class DateGrounds {
-    Guess, ///< the node has just started and found them
-    Told,  ///< another node's bound; the way here makes it somewhat too late
-    Read,  ///< this node's own reading
+    Guess, ///< estimated: the node has just started and found the weights in the store
+    Told,  ///< received from another node; too late by the time of the transfer
+    Read,  ///< from this node's own reads of the store
 };
 
-/// @brief The dates of one model's weights, those that still decide something. Pure.
+/// @brief The announcements of one model's weights that still affect a deadline. Pure: performs no
+/// I/O.
 class WeightsDates
 {
 public:
-    /// @brief Takes a date in.
-    /// @param allowed from the naming until no request may begin on older weights
-    /// @return whether anything changed by it
+    /// @brief Adds an announcement or improves the bounds of a known one.
+    /// @param allowed time from the announcement in which requests may start on older weights
+    /// @return whether anything changed
     bool add(const WeightsDate &date, DateGrounds grounds, TimePoint now, Duration allowed);
-    /// @brief When the time is over in which a request may begin on these weights.
-    /// @return none if no newer ones were named
+    /// @brief The deadline for starting requests on this version.
+    /// @return none if no newer version was announced
     [[nodiscard]] std::optional<TimePoint> endOf(std::uint64_t version, Duration allowed) const;
-    /// @brief Whether a node knew of newer weights before @p time.
+    /// @brief Whether any node had received a newer version before @p time.
     [[nodiscard]] bool isReplaced(std::uint64_t version, TimePoint time) const;
-    /// @return 0 if none were named
+    /// @return the newest announced version; 0 if there is none
     [[nodiscard]] std::uint64_t newest() const;
-    /// @brief What other nodes may rely on: nothing that was guessed.
+    /// @brief The bounds to send to other nodes; excludes estimates.
     [[nodiscard]] std::vector<WeightsDate> toTell() const;
 
 private:
@@ -62,10 +64,10 @@
 
     using Entries = std::vector<Entry>;
 
-    [[nodiscard]] Entries::iterator placeOf(std::uint64_t version);
+    [[nodiscard]] Entries::iterator lowerBound(std::uint64_t version);
     [[nodiscard]] static bool improve(Entry *entry, const WeightsDate &date, DateGrounds grounds);
-    /// Drops what is older than weights whose own time is over: it decides nothing any more.
-    void forgetDecided(TimePoint now, Duration allowed);
+    /// Removes versions older than one whose own deadline has passed: they affect no deadline.
+    void removeObsolete(TimePoint now, Duration allowed);
 
     Entries m_entries; ///< oldest version first
 };
--- a/src/vanilladyke/policy/weights_dates.cpp
+++ b/src/vanilladyke/policy/weights_dates.cpp
@@ -6,16 +6,16 @@
 
 namespace {
 
-/// Another node may have had the weights at a time that an own reading takes for too early, if the
-/// store left a record out of an answer: then the reading proves nothing.
-TimePoint sinceOf(const WeightsDate &date)
+/// The lower bound is wrong if the store omitted the record from an answer. The time at which some
+/// node already had the weights then corrects it.
+TimePoint earliestBound(const WeightsDate &date)
 {
     return std::min(date.namedAfter, date.knownAt);
 }
 
 } // namespace
 
-WeightsDates::Entries::iterator WeightsDates::placeOf(std::uint64_t version)
+WeightsDates::Entries::iterator WeightsDates::lowerBound(std::uint64_t version)
 {
     return std::lower_bound(
             m_entries.begin(), m_entries.end(), version,
@@ -25,13 +25,13 @@
 bool WeightsDates::add(const WeightsDate &date, DateGrounds grounds, TimePoint now,
                        Duration allowed)
 {
-    const auto place = placeOf(date.version);
+    const auto place = lowerBound(date.version);
     if (place != m_entries.end() && place->date.version == date.version) {
         return improve(&*place, date, grounds);
     }
     m_entries.insert(place, Entry{date, grounds});
-    forgetDecided(now, allowed);
-    const auto kept = placeOf(date.version);
+    removeObsolete(now, allowed);
+    const auto kept = lowerBound(date.version);
     return kept != m_entries.end() && kept->date.version == date.version;
 }
 
@@ -55,9 +55,9 @@
     return entry->date != before;
 }
 
-void WeightsDates::forgetDecided(TimePoint now, Duration allowed)
+void WeightsDates::removeObsolete(TimePoint now, Duration allowed)
 {
-    while (m_entries.size() > 1 && now - sinceOf(m_entries[1].date) > allowed) {
+    while (m_entries.size() > 1 && now - earliestBound(m_entries[1].date) > allowed) {
         m_entries.erase(m_entries.begin());
     }
 }
@@ -66,9 +66,9 @@
 {
     std::optional<TimePoint> end;
     for (const Entry &entry : m_entries) {
-        const TimePoint over = sinceOf(entry.date) + allowed;
-        if (version < entry.date.version && (!end || over < *end)) {
-            end = over;
+        const TimePoint deadline = earliestBound(entry.date) + allowed;
+        if (version < entry.date.version && (!end || deadline < *end)) {
+            end = deadline;
         }
     }
     return end;
@@ -91,7 +91,7 @@
     std::vector<WeightsDate> result;
     for (const Entry &entry : m_entries) {
         if (entry.grounds != DateGrounds::Guess) {
-            result.push_back({entry.date.version, sinceOf(entry.date), entry.date.knownAt});
+            result.push_back({entry.date.version, earliestBound(entry.date), entry.date.knownAt});
         }
     }
     return result;
--- a/src/vanilladyke/policy/weights_dates_test.cpp
+++ b/src/vanilladyke/policy/weights_dates_test.cpp
@@ -25,7 +25,7 @@
     return {version, at(namedAfter), at(knownAt)};
 }
 
-TEST(WeightsDates, OlderWeightsEndByTheLowerBound)
+TEST(WeightsDates, DeadlineOfOlderWeightsUsesTheLowerBound)
 {
     WeightsDates dates;
     EXPECT_FALSE(dates.endOf(1, Allowed));
@@ -37,9 +37,9 @@
     EXPECT_EQ(dates.newest(), 2U);
 }
 
-// The store left a record out of an answer, and this node took that for a proof that it was not
-// there. Requests would begin on old weights after their time is over.
-TEST(WeightsDates, WhatAnotherNodeKnewBeforeBoundsAWrongProof)
+// Guards against requests that start on old weights after the deadline because the store omitted
+// the record from an answer, which made the lower bound too late.
+TEST(WeightsDates, EarlierReceiptByAnotherNodeCorrectsAWrongLowerBound)
 {
     WeightsDates dates;
     EXPECT_TRUE(dates.add(date(2, 4500, 6200), DateGrounds::Read, at(6200), Allowed));
@@ -48,22 +48,22 @@
     EXPECT_FALSE(dates.add(date(2, 2700, 2850), DateGrounds::Told, at(6400), Allowed));
 }
 
-// A node was killed and started again in the middle of a rollout, and finds weights of an unknown
-// age. Its guess may let requests begin on old weights seconds after their time is over.
-TEST(WeightsDates, ANodeThatHasJustStartedTakesWhatOthersTell)
+// Guards against requests that start on old weights after the deadline on a node that restarted
+// during a rollout and only estimates when the weights were announced.
+TEST(WeightsDates, ARestartedNodeTakesTheBoundsOfOthers)
 {
     WeightsDates dates;
     EXPECT_TRUE(dates.add(date(3, 4500, 4500), DateGrounds::Guess, at(12000), Allowed));
-    EXPECT_TRUE(dates.toTell().empty()) << "a guess is no news";
+    EXPECT_TRUE(dates.toTell().empty()) << "estimates are not sent";
     EXPECT_TRUE(dates.add(date(3, 1000, 1100), DateGrounds::Told, at(12100), Allowed));
     EXPECT_EQ(dates.endOf(2, Allowed), at(1000) + Allowed);
     EXPECT_EQ(dates.toTell(), std::vector{date(3, 1000, 1100)});
     EXPECT_FALSE(dates.add(date(3, 4600, 4600), DateGrounds::Guess, at(12200), Allowed));
 }
 
-// The guess is too early: every engine on older weights would be closed to a node that just began,
-// though they may serve for seconds more.
-TEST(WeightsDates, AGuessGivesWayToALaterDate)
+// Guards against an estimate that is too early: a restarted node would exclude all engines with
+// older weights, although they may serve for several seconds more.
+TEST(WeightsDates, AnEstimateIsReplacedByALaterBound)
 {
     WeightsDates dates;
     EXPECT_TRUE(dates.add(date(3, 4500, 4500), DateGrounds::Guess, at(12000), Allowed));
@@ -71,9 +71,9 @@
     EXPECT_EQ(dates.endOf(2, Allowed), at(11000) + Allowed);
 }
 
-// A node that was killed or cut off while version 2 was named finds only version 3. Engines on
-// version 1 would stay open until the time of version 3 is over.
-TEST(WeightsDates, AVersionThatANodeMissedStillClosesWhatIsOlder)
+// A node that was down or disconnected when version 2 was announced reads only version 3. Guards
+// against engines with version 1 that stay available until the deadline of version 3.
+TEST(WeightsDates, AMissedVersionStillLimitsOlderOnes)
 {
     WeightsDates dates;
     EXPECT_TRUE(dates.add(date(3, 9000, 9100), DateGrounds::Read, at(9100), Allowed));
@@ -83,7 +83,7 @@
     EXPECT_EQ(dates.newest(), 3U);
 }
 
-TEST(WeightsDates, WhatDecidesNothingAnyMoreIsForgotten)
+TEST(WeightsDates, ObsoleteVersionsAreRemoved)
 {
     WeightsDates dates;
     EXPECT_TRUE(dates.add(date(2, 0, 0), DateGrounds::Read, at(0), Allowed));
@@ -94,20 +94,20 @@
     EXPECT_EQ(dates.endOf(1, Allowed), at(5000) + Allowed);
 }
 
-/// Six nodes that follow the records by calls that wait, and tell each other. The store passes
-/// calls over and leaves records out; datagrams are lost and late; nodes are killed and start anew.
-class DatingFleet
+/// Six nodes that follow the records by long polling and exchange their bounds. The store misses
+/// waiting calls and omits records; datagrams are lost and delayed; nodes are killed and restarted.
+class SimulatedFleet
 {
 public:
-    static constexpr Duration Wait = milliseconds(1700);
-    static constexpr Duration TellEvery = milliseconds(400);
+    static constexpr Duration PollWait = milliseconds(1700);
+    static constexpr Duration SendInterval = milliseconds(400);
     static constexpr Duration Step = milliseconds(20);
-    static constexpr Duration Away = milliseconds(900);
-    /// A node that was just started has to hear of dates first.
-    static constexpr Duration Settled = milliseconds(2000);
+    static constexpr Duration RestartDelay = milliseconds(900);
+    /// A restarted node is checked only after it has had time to receive the bounds of others.
+    static constexpr Duration SettleTime = milliseconds(2000);
     static constexpr std::size_t Nodes = 6;
 
-    explicit DatingFleet(std::uint64_t seed)
+    explicit SimulatedFleet(std::uint64_t seed)
         : m_random(seed)
     {
         for (std::size_t i = 0; i < Nodes; ++i) {
@@ -115,21 +115,21 @@
         }
     }
 
-    void name()
+    void announce()
     {
         ++m_newest;
-        m_namedAt[m_newest] = m_now;
-        const std::size_t passedOver = m_random() % (2 * Nodes);
-        if (passedOver < Nodes) {
-            // By one wait, or by two of which the first is answered without the record.
-            m_nodes[passedOver].blindWaits = 1 + static_cast<int>(m_random() % 2);
+        m_announcedAt[m_newest] = m_now;
+        const std::size_t missedNode = m_random() % (2 * Nodes);
+        if (missedNode < Nodes) {
+            // Delayed by one wait, or by two of which the first is answered without the record.
+            m_nodes[missedNode].missedWaits = 1 + static_cast<int>(m_random() % 2);
         }
     }
 
     void kill(std::size_t i)
     {
         m_nodes[i] = Node();
-        m_nodes[i].startsAt = m_now + Away;
+        m_nodes[i].startsAt = m_now + RestartDelay;
     }
 
     void step()
@@ -142,26 +142,27 @@
             }
             if (!node.startsAt) {
                 follow(&node);
-                tell(i);
+                send(i);
             }
         }
         for (auto each = m_sent.begin(); each != m_sent.end() && each->first <= m_now;) {
             const Datagram &datagram = each->second;
             if (!m_nodes[datagram.to].startsAt) {
-                take(datagram);
+                receive(datagram);
             }
             each = m_sent.erase(each);
         }
     }
 
-    /// How much later than allowed some settled node lets requests begin on older weights.
-    [[nodiscard]] Duration latestBeyond() const
+    /// The largest delay past the deadline by which a settled node lets requests start on older
+    /// weights.
+    [[nodiscard]] Duration maxDelay() const
     {
         Duration latest = Duration::min();
-        for (const auto &[version, namedAt] : m_namedAt) {
+        for (const auto &[version, namedAt] : m_announcedAt) {
             for (const Node &node : m_nodes) {
-                const bool decides = m_now < namedAt + Allowed && m_now > namedAt + 2 * Wait;
-                if (!decides || node.startsAt || m_now - node.startedAt < Settled) {
+                const bool decides = m_now < namedAt + Allowed && m_now > namedAt + 2 * PollWait;
+                if (!decides || node.startsAt || m_now - node.startedAt < SettleTime) {
                     continue;
                 }
                 const auto end = node.dates.endOf(version - 1, Allowed);
@@ -171,15 +172,16 @@
         return latest;
     }
 
-    /// How much sooner than allowed some node closes engines on the weights before the newest.
-    [[nodiscard]] Duration soonestBefore() const
+    /// The largest lead before the deadline by which a node excludes engines with the previous
+    /// weights.
+    [[nodiscard]] Duration maxLead() const
     {
         Duration soonest = Duration::zero();
         for (const Node &node : m_nodes) {
             const auto end = node.dates.endOf(m_newest - 1, Allowed);
-            const bool isGuess = node.startsAt || m_now - node.startedAt < Settled;
-            if (end && !isGuess) {
-                soonest = std::max(soonest, m_namedAt.at(m_newest) + Allowed - *end);
+            const bool isEstimate = node.startsAt || m_now - node.startedAt < SettleTime;
+            if (end && !isEstimate) {
+                soonest = std::max(soonest, m_announcedAt.at(m_newest) + Allowed - *end);
             }
         }
         return soonest;
@@ -192,18 +194,18 @@
     struct Node
     {
         WeightsDates dates;
-        std::optional<TimePoint> startsAt; ///< it is down until then
+        std::optional<TimePoint> startsAt; ///< the node is down until then; none while it runs
         TimePoint startedAt;
         std::uint64_t known = 1;
-        TimePoint provedAt;
+        TimePoint lastReadAt;
         TimePoint waitEnds;
-        int blindWaits = 0; ///< answers that don't come before the end of the wait
-        TimePoint tellsAt;
+        int missedWaits = 0; ///< answers that arrive only at the end of the wait
+        TimePoint sendsAt;
     };
     struct Datagram
     {
         std::size_t to = 0;
-        WeightsDate date; ///< as ages, counted from when it was sent
+        WeightsDate date; ///< sent as ages relative to sentAt
         TimePoint sentAt;
     };
 
@@ -213,13 +215,13 @@
     {
         Node node;
         node.startedAt = m_now;
-        node.provedAt = m_now;
+        node.lastReadAt = m_now;
         node.known = m_newest;
-        node.waitEnds = m_now + Wait;
-        node.tellsAt = m_now + upTo(TellEvery);
+        node.waitEnds = m_now + PollWait;
+        node.sendsAt = m_now + upTo(SendInterval);
         if (m_newest > 1) {
-            const TimePoint guess = m_now - Allowed / 2;
-            node.dates.add({m_newest, guess, guess}, DateGrounds::Guess, m_now, Allowed);
+            const TimePoint estimate = m_now - Allowed / 2;
+            node.dates.add({m_newest, estimate, estimate}, DateGrounds::Guess, m_now, Allowed);
         }
         m_nodes[i] = std::move(node);
     }
@@ -227,79 +229,79 @@
     void follow(Node *node)
     {
         const bool isOver = m_now >= node->waitEnds;
-        if (!isOver && (node->known == m_newest || node->blindWaits > 0)) {
+        if (!isOver && (node->known == m_newest || node->missedWaits > 0)) {
             return;
         }
-        const bool isLeftOut = node->blindWaits > 1;
-        if (!isLeftOut) {
+        const bool isOmitted = node->missedWaits > 1;
+        if (!isOmitted) {
             for (std::uint64_t version = node->known + 1; version <= m_newest; ++version) {
-                node->dates.add({version, node->provedAt, m_now}, DateGrounds::Read, m_now,
+                node->dates.add({version, node->lastReadAt, m_now}, DateGrounds::Read, m_now,
                                 Allowed);
             }
             node->known = m_newest;
         }
-        node->blindWaits = isOver ? std::max(0, node->blindWaits - 1) : node->blindWaits;
-        node->provedAt = m_now;
-        node->waitEnds = m_now + Wait;
+        node->missedWaits = isOver ? std::max(0, node->missedWaits - 1) : node->missedWaits;
+        node->lastReadAt = m_now;
+        node->waitEnds = m_now + PollWait;
     }
 
-    void tell(std::size_t from)
+    void send(std::size_t from)
     {
-        constexpr double LostPart = 0.2;
-        constexpr Duration LongestWay = milliseconds(60);
+        constexpr double LossRate = 0.2;
+        constexpr Duration MaxTransferTime = milliseconds(60);
         Node &node = m_nodes[from];
-        if (m_now < node.tellsAt) {
+        if (m_now < node.sendsAt) {
             return;
         }
-        node.tellsAt = m_now + TellEvery;
+        node.sendsAt = m_now + SendInterval;
         for (std::size_t to = 0; to < Nodes; ++to) {
             for (const WeightsDate &each : node.dates.toTell()) {
-                if (to != from && uniform(m_random) >= LostPart) {
-                    m_sent.emplace(m_now + upTo(LongestWay), Datagram{to, each, m_now});
+                if (to != from && uniform(m_random) >= LossRate) {
+                    m_sent.emplace(m_now + upTo(MaxTransferTime), Datagram{to, each, m_now});
                 }
             }
         }
     }
 
-    void take(const Datagram &datagram)
+    void receive(const Datagram &datagram)
     {
-        const Duration way = m_now - datagram.sentAt;
-        WeightsDate told = datagram.date;
-        told.namedAfter += way;
-        told.knownAt += way;
-        m_nodes[datagram.to].dates.add(told, DateGrounds::Told, m_now, Allowed);
+        const Duration transferTime = m_now - datagram.sentAt;
+        WeightsDate received = datagram.date;
+        received.namedAfter += transferTime;
+        received.knownAt += transferTime;
+        m_nodes[datagram.to].dates.add(received, DateGrounds::Told, m_now, Allowed);
     }
 
     Random m_random;
     TimePoint m_now = at(0);
     std::uint64_t m_newest = 1;
-    std::map<std::uint64_t, TimePoint> m_namedAt;
+    std::map<std::uint64_t, TimePoint> m_announcedAt;
     std::array<Node, Nodes> m_nodes;
     std::multimap<TimePoint, Datagram> m_sent;
 };
 
-// Weights are named again and again, and no node may let requests begin on older ones when their
-// time is over, whichever call was late and whoever was killed: what waits at an engine is
-// withdrawn 800 ms before the time that a node believes in.
-TEST(WeightsDates, NoNodeOfAFleetIsLateByMoreThanTheMarginBears)
+// Weights are announced repeatedly while calls are delayed and nodes are killed. Guards against a
+// node that lets requests start on older weights after the deadline by more than 800 ms, the margin
+// by which requests queued at an engine are withdrawn before the deadline that the node computed.
+TEST(WeightsDates, NoNodeExceedsTheDeadlineByMoreThanTheMargin)
 {
-    constexpr Duration Borne = milliseconds(800);
-    constexpr Duration Played = std::chrono::seconds(90);
+    constexpr Duration Margin = milliseconds(800);
+    constexpr Duration SimulatedTime = std::chrono::seconds(90);
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
-        DatingFleet fleet(seed);
-        const TimePoint end = fleet.now() + Played;
-        TimePoint namesAt = fleet.now();
+        SimulatedFleet fleet(seed);
+        const TimePoint end = fleet.now() + SimulatedTime;
+        TimePoint announceAt = fleet.now();
         while (fleet.now() < end) {
-            if (fleet.now() >= namesAt) {
-                fleet.name();
-                namesAt += milliseconds(500 + static_cast<int>(fleet.random()() % 8000));
+            if (fleet.now() >= announceAt) {
+                fleet.announce();
+                announceAt += milliseconds(500 + static_cast<int>(fleet.random()() % 8000));
             }
             if (fleet.random()() % 100 == 0) {
-                fleet.kill(fleet.random()() % DatingFleet::Nodes);
+                fleet.kill(fleet.random()() % SimulatedFleet::Nodes);
             }
             fleet.step();
-            ASSERT_LE(fleet.latestBeyond(), Borne) << "seed " << seed;
-            ASSERT_LE(fleet.soonestBefore(), 2 * DatingFleet::Wait) << "seed " << seed;
+            ASSERT_LE(fleet.maxDelay(), Margin) << "seed " << seed;
+            ASSERT_LE(fleet.maxLead(), 2 * SimulatedFleet::PollWait) << "seed " << seed;
         }
     }
 }
