--- a/src/vanilladyke/policy/weights_rollout.cpp
+++ b/src/vanilladyke/policy/weights_rollout.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// No order is over sooner; what is learned stays within bounds whatever engines tell.
+/// Lower bound of the measured time of an order, which keeps it plausible whatever engines report.
 constexpr Duration ShortestOrder = std::chrono::milliseconds(50);
 
 } // namespace
@@ -19,7 +19,7 @@
         m_goal = version;
         m_namedAt = now;
         for (auto &[engine, failures] : m_failures) {
-            failures.notBefore = now;
+            failures.retryAt = now;
         }
     }
 }
@@ -40,7 +40,7 @@
         }
         ++progress.pending;
         progress.underOrder += isUnderOrder(engine.id) ? 1 : 0;
-        progress.putOff += isPutOff(engine.id, now) ? 1 : 0;
+        progress.putOff += isBackingOff(engine.id, now) ? 1 : 0;
         const int failures = failuresOf(engine.id);
         if (!isUnderOrder(engine.id)
             && (progress.first.empty() || failures > progress.firstFailures)) {
@@ -51,61 +51,65 @@
     return progress;
 }
 
-bool WeightsRollout::isPutOff(const EngineId &engine, TimePoint now) const
+bool WeightsRollout::isBackingOff(const EngineId &engine, TimePoint now) const
 {
     const auto failed = m_failures.find(engine);
-    return failed != m_failures.end() && now < failed->second.notBefore;
+    return failed != m_failures.end() && now < failed->second.retryAt;
 }
 
-std::size_t WeightsRollout::mostLoading(std::size_t engines) const
+std::size_t WeightsRollout::maxLoadingEngines(std::size_t engines) const
 {
     const auto part = static_cast<std::size_t>(m_terms.loadingPart * static_cast<double>(engines));
-    return std::max(LeastLoading, part);
+    return std::max(MinLoading, part);
 }
 
-std::size_t WeightsRollout::mostUnderOrder(const std::vector<RolloutEngine> &engines,
-                                           TimePoint now) const
+std::size_t WeightsRollout::maxOrders(const std::vector<RolloutEngine> &engines,
+                                      TimePoint now) const
 {
     const double rounds = TimePart * secondsOf(m_terms.allowed) / secondsOf(m_orderTime);
     const double size = static_cast<double>(engines.size());
-    const double usual = std::min(size / rounds, m_terms.outPart * size);
-    const double places = std::max(usual, std::min(hurriedPlaces(engines, now), size));
-    return std::max(mostLoading(engines.size()), static_cast<std::size_t>(std::ceil(places)));
+    const double regular = std::min(size / rounds, m_terms.outPart * size);
+    const double slots = std::max(regular, std::min(expeditedOrders(engines, now), size));
+    return std::max(maxLoadingEngines(engines.size()), static_cast<std::size_t>(std::ceil(slots)));
 }
 
-double WeightsRollout::hurriedPlaces(const std::vector<RolloutEngine> &engines, TimePoint now) const
+double WeightsRollout::expeditedOrders(const std::vector<RolloutEngine> &engines,
+                                       TimePoint now) const
 {
     const double allowed = secondsOf(m_terms.allowed);
-    const double spent = secondsOf(now - m_namedAt);
-    const double hurry = (spent / allowed - HurryFrom) / (HurryUntil - HurryFrom);
-    if (hurry <= 0) {
+    const double elapsed = secondsOf(now - m_namedAt);
+    const double expediteRatio =
+            (elapsed / allowed - ExpediteFrom) / (ExpediteFullFrom - ExpediteFrom);
+    if (expediteRatio <= 0) {
         return 0;
     }
-    const auto waiting = std::count_if(engines.begin(), engines.end(), [this](const auto &engine) {
-        return engine.version < m_goal && !isUnderOrder(engine.id);
-    });
+    const auto unordered =
+            std::count_if(engines.begin(), engines.end(), [this](const auto &engine) {
+                return engine.version < m_goal && !isUnderOrder(engine.id);
+            });
     const double orderTime = secondsOf(m_orderTime);
-    const double left = std::max(EndPart * allowed - spent - orderTime, secondsOf(ShortestOrder));
-    const double part = m_terms.outPart + std::min(hurry, 1.0) * (1 - m_terms.outPart);
+    const double remaining = std::max(ExpediteDeadlinePart * allowed - elapsed - orderTime,
+                                      secondsOf(ShortestOrder));
+    const double part = m_terms.outPart + std::min(expediteRatio, 1.0) * (1 - m_terms.outPart);
     const double size = static_cast<double>(engines.size());
-    return std::min(static_cast<double>(waiting) * orderTime / left, part * size);
+    return std::min(static_cast<double>(unordered) * orderTime / remaining, part * size);
 }
 
 std::vector<EngineId> WeightsRollout::next(std::vector<RolloutEngine> engines, TimePoint now) const
 {
-    const std::size_t mostLoads = mostLoading(engines.size());
-    const std::size_t most = mostUnderOrder(engines, now);
+    const std::size_t maxLoading = maxLoadingEngines(engines.size());
+    const std::size_t maxInProgress = maxOrders(engines, now);
     std::size_t loading = 0;
     std::size_t underOrder = 0;
     for (const RolloutEngine &engine : engines) {
         const auto order = m_underOrder.find(engine.id);
         if (order != m_underOrder.end()) {
             ++underOrder;
-            loading += order->second.endsRuns ? 0 : 1;
+            loading += order->second.isDraining ? 0 : 1;
         }
     }
     std::erase_if(engines, [&](const RolloutEngine &engine) {
-        return engine.version >= m_goal || isUnderOrder(engine.id) || isPutOff(engine.id, now);
+        return engine.version >= m_goal || isUnderOrder(engine.id) || isBackingOff(engine.id, now);
     });
     std::stable_sort(engines.begin(), engines.end(),
                      [this](const RolloutEngine &a, const RolloutEngine &b) {
@@ -116,8 +120,8 @@
                      });
     std::vector<EngineId> result;
     for (const RolloutEngine &engine : engines) {
-        const std::size_t begun = result.size();
-        if (loading + begun >= mostLoads || underOrder + begun >= most) {
+        const std::size_t selected = result.size();
+        if (loading + selected >= maxLoading || underOrder + selected >= maxInProgress) {
             break;
         }
         result.push_back(engine.id);
@@ -128,14 +132,14 @@
 int WeightsRollout::failuresOf(const EngineId &engine) const
 {
     const auto found = m_failures.find(engine);
-    return found == m_failures.end() ? 0 : found->second.inARow;
+    return found == m_failures.end() ? 0 : found->second.consecutive;
 }
 
 void WeightsRollout::sawRuns(const EngineId &engine, bool hasRuns)
 {
     const auto order = m_underOrder.find(engine);
     if (order != m_underOrder.end()) {
-        order->second.endsRuns = hasRuns;
+        order->second.isDraining = hasRuns;
     }
 }
 
@@ -154,8 +158,8 @@
         return;
     }
     Failures &failures = m_failures[engine];
-    failures.notBefore = now + RetryAfter * (1 << std::min(failures.inARow, MostDoublings));
-    ++failures.inARow;
+    failures.retryAt = now + RetryDelay * (1 << std::min(failures.consecutive, MaxDoublings));
+    ++failures.consecutive;
 }
 
 } // namespace vanilladyke
--- a/src/vanilladyke/policy/weights_rollout_test.cpp
+++ b/src/vanilladyke/policy/weights_rollout_test.cpp
@@ -24,9 +24,9 @@
     return engines;
 }
 
-// New weights are named under load. With every engine loading at once nobody would serve, and each
-// load would take as many times longer.
-TEST(WeightsRollout, OnlyAPartOfTheFleetLoadsAtOnce)
+// Guards against all engines loading at once when new weights are announced under load: none would
+// serve, and the loads would slow each other down.
+TEST(WeightsRollout, OnlyAFractionOfTheFleetLoadsAtOnce)
 {
     WeightsRollout rollout;
     rollout.name(2, at(0));
@@ -44,10 +44,10 @@
     EXPECT_EQ(next[0], EngineId("e3"));
 }
 
-// Streams of a second and a half run on nine engines that load in less than half a second. An order
-// ends the runs first; with two engines under order the rollout would take the whole time that the
-// platform allows, and answers on old weights are worth less all the while.
-TEST(WeightsRollout, EnginesThatEndTheirRunsKeepNoOtherFromLoading)
+// Nine engines load in less than half a second, after draining streams of a second and a half.
+// Guards against draining engines that count as loading: with two orders in progress at a time the
+// rollout would take all of the allowed time, and answers on old weights have less value.
+TEST(WeightsRollout, DrainingEnginesDoNotKeepOthersFromLoading)
 {
     WeightsRollout rollout({milliseconds(8000)});
     rollout.name(2, at(0));
@@ -79,9 +79,9 @@
     EXPECT_LE(end, 5600);
 }
 
-// Loads that take seconds slow each other down beyond a part of the fleet, so that more orders
-// bring nothing and take away engines that serve.
-TEST(WeightsRollout, EnginesThatLoadAreBoundedByAPartOfTheFleet)
+// Guards against too many concurrent loads: beyond a fraction of the fleet, loads that take seconds
+// slow each other down, so more orders gain nothing and remove engines that could serve.
+TEST(WeightsRollout, LoadingEnginesAreLimitedToAFractionOfTheFleet)
 {
     WeightsRollout rollout({milliseconds(15000)});
     rollout.name(2, at(0));
@@ -93,7 +93,7 @@
     EXPECT_TRUE(rollout.next(engines, at(1000)).empty());
 }
 
-TEST(WeightsRollout, EnginesOnTheOldestWeightsGoFirst)
+TEST(WeightsRollout, EnginesOnTheOldestWeightsAreOrderedFirst)
 {
     WeightsRollout rollout;
     rollout.name(3, at(0));
@@ -102,8 +102,8 @@
     EXPECT_EQ(rollout.next(engines, at(0)).front(), EngineId("e2"));
 }
 
-// An engine that crashed keeps refusing its order. It must not hold a place that others need.
-TEST(WeightsRollout, AnEngineThatDidNotTakeItsOrderGoesBehindTheOthers)
+// Guards against a crashed engine that fails every order and occupies a slot that others need.
+TEST(WeightsRollout, AnEngineThatFailedItsOrderIsRetriedBehindTheOthers)
 {
     WeightsRollout rollout;
     rollout.name(2, at(0));
@@ -116,25 +116,25 @@
     ASSERT_EQ(next.size(), 2U);
     EXPECT_EQ(next[0], EngineId("e1"));
     EXPECT_EQ(rollout.next(engines, at(500)).front(), EngineId("e1"));
-    EXPECT_EQ(rollout.next({engines[0]}, at(300)).size(), 0U) << "its turn has not come again";
+    EXPECT_EQ(rollout.next({engines[0]}, at(300)).size(), 0U) << "it is still in back-off";
     EXPECT_EQ(rollout.next({engines[0]}, at(500)).front(), EngineId("e0"));
 }
 
-// Guards against engines that missed one order and are then passed over for each newer version, so
-// that they stay on the first one for good.
-TEST(WeightsRollout, EnginesThatMissedAnOrderAreNotLeftBehindByNewerVersions)
+// Guards against engines that failed one order and are then passed over for each newer version, so
+// that they stay on the first version permanently.
+TEST(WeightsRollout, EnginesThatFailedAnOrderAreNotSkippedByNewerVersions)
 {
-    constexpr int OrderTakes = 4500;
-    constexpr int NamedEvery = 5500;
-    constexpr int SilenceTakes = 600;
+    constexpr int OrderDurationMs = 4500;
+    constexpr int AnnounceInterval = 5500;
+    constexpr int TimeoutMs = 600;
     constexpr int Unreachable = 12;
     constexpr int ReachableFrom = 4000;
     WeightsRollout rollout({milliseconds(10000)});
     auto engines = fleet(60, 1);
     std::map<EngineId, int> orderedAt;
     for (int now = 0; now < 22000; now += 50) {
-        if (now % NamedEvery == 0) {
-            rollout.name(static_cast<std::uint64_t>(now) / NamedEvery + 2, at(now));
+        if (now % AnnounceInterval == 0) {
+            rollout.name(static_cast<std::uint64_t>(now) / AnnounceInterval + 2, at(now));
         }
         for (const EngineId &id : rollout.next(engines, at(now))) {
             rollout.started(id);
@@ -147,8 +147,8 @@
                 continue;
             }
             const bool isLost = i < Unreachable && order->second < ReachableFrom;
-            rollout.sawRuns(order->first, !isLost && now - order->second < OrderTakes - 400);
-            if (now - order->second >= (isLost ? SilenceTakes : OrderTakes)) {
+            rollout.sawRuns(order->first, !isLost && now - order->second < OrderDurationMs - 400);
+            if (now - order->second >= (isLost ? TimeoutMs : OrderDurationMs)) {
                 engines[i].version = isLost ? engines[i].version : rollout.goal();
                 rollout.ended(order->first, !isLost, at(now));
                 orderedAt.erase(order);
@@ -160,13 +160,14 @@
               0);
 }
 
-// Guards against a rollout without an end in time: streams of three to five seconds are
-// ended first, and places are taken by orders of the version before when a newer one is named.
-TEST(WeightsRollout, ManySlowEnginesAreBroughtInTimeWhileAnOlderVersionIsStillUnderWay)
+// Guards against a rollout that misses its deadline because engines first drain streams of three to
+// five seconds, and orders for the previous version occupy the slots when a newer one is announced.
+TEST(WeightsRollout, ManySlowEnginesMeetTheDeadlineWhileAnOlderRolloutIsInProgress)
 {
     constexpr int Allowed = 10000;
     constexpr int NewestAt = 5500;
-    constexpr int AllAllowed = 14000; ///< until then hardly any engine may be on an older version
+    /// Time from the newer announcement until all engines have it.
+    constexpr int AllowedForAll = 14000;
     WeightsRollout rollout({milliseconds(Allowed)});
     rollout.name(2, at(0));
     auto engines = fleet(60, 1);
@@ -176,7 +177,7 @@
         std::uint64_t version = 0;
     };
     std::map<EngineId, Order> orders;
-    for (int now = 0; now < NewestAt + AllAllowed; now += 50) {
+    for (int now = 0; now < NewestAt + AllowedForAll; now += 50) {
         if (now == NewestAt) {
             rollout.name(3, at(now));
         }
@@ -203,7 +204,7 @@
     EXPECT_FALSE(rollout.isPending(engines));
 }
 
-TEST(WeightsRollout, OlderWeightsAreNeverBroughtBack)
+TEST(WeightsRollout, TheTargetVersionNeverDecreases)
 {
     WeightsRollout rollout;
     rollout.name(3, at(0));
