--- a/src/vanilladyke/policy/order_lease.cpp
+++ b/src/vanilladyke/policy/order_lease.cpp
@@ -12,34 +12,34 @@
 
 void OrderLease::sawLog(std::uint64_t end, const std::optional<LeaseRecord> &last, TimePoint now)
 {
-    if (m_underWay) {
+    if (m_pendingAppend) {
         return;
     }
-    if (!m_isCurrent || end != m_end) {
-        const bool isNews = end != m_end || m_last != last || m_lastSeenAt == TimePoint();
-        m_lastSeenAt = isNews ? now : m_lastSeenAt;
+    if (!m_isLogCurrent || end != m_end) {
+        const bool hasChanged = end != m_end || m_last != last || m_lastSeenAt == TimePoint();
+        m_lastSeenAt = hasChanged ? now : m_lastSeenAt;
     }
     m_end = end;
     m_last = last;
-    m_isCurrent = true;
-    if (m_inDoubt && last == m_inDoubt->record && !last->isRelease) {
+    m_isLogCurrent = true;
+    if (m_uncertainAppend && last == m_uncertainAppend->record && !last->isRelease) {
         m_holdsUntil = m_sentAt + m_terms.validity;
         m_fence = end;
     }
-    m_inDoubt.reset();
+    m_uncertainAppend.reset();
     if (last && last->isRelease && last->holder != m_self) {
-        m_resting = last->news.ordered;
-        m_restUntil = m_lastSeenAt + m_terms.gap + m_terms.margin;
+        m_recentlyOrdered = last->news.ordered;
+        m_handoverUntil = m_lastSeenAt + m_terms.gap + m_terms.margin;
     }
     if (last && (last->holder != m_self || last->incarnation != m_incarnation)) {
         m_holdsUntil.reset();
     }
 }
 
-std::optional<LeaseAppend> OrderLease::nextAppend(bool wantsToOrder, Duration patience,
+std::optional<LeaseAppend> OrderLease::nextAppend(bool wantsToOrder, Duration claimDelay,
                                                   const LeaseNews &news, TimePoint now)
 {
-    if (!m_isCurrent || m_underWay) {
+    if (!m_isLogCurrent || m_pendingAppend) {
         return std::nullopt;
     }
     const bool isOurs = m_last && m_last->holder == m_self;
@@ -49,27 +49,27 @@
     if (wantsToOrder && mayOrder(now) && now - m_sentAt < m_terms.renewAfter) {
         return std::nullopt;
     }
-    const Duration silence = m_terms.validity + m_terms.gap + m_terms.margin + patience;
-    const bool needsNoSilence = !m_last || m_last->isRelease;
-    const bool isFree = now - m_lastSeenAt >= (needsNoSilence ? patience : silence);
-    if (!isOurs && !isFree) {
+    const Duration timeout = m_terms.validity + m_terms.gap + m_terms.margin + claimDelay;
+    const bool needsNoTimeout = !m_last || m_last->isRelease;
+    const bool mayClaim = now - m_lastSeenAt >= (needsNoTimeout ? claimDelay : timeout);
+    if (!isOurs && !mayClaim) {
         return std::nullopt;
     }
-    m_underWay = LeaseAppend{m_end, {m_self, m_incarnation, ++m_attempt, !wantsToOrder, news}};
+    m_pendingAppend = LeaseAppend{m_end, {m_self, m_incarnation, ++m_attempt, !wantsToOrder, news}};
     m_sentAt = now;
     if (!wantsToOrder) {
         m_holdsUntil.reset();
     }
-    return m_underWay;
+    return m_pendingAppend;
 }
 
 void OrderLease::appended(std::uint64_t end, TimePoint now)
 {
-    if (!m_underWay) {
+    if (!m_pendingAppend) {
         return;
     }
-    m_last = std::move(m_underWay->record);
-    m_underWay.reset();
+    m_last = std::move(m_pendingAppend->record);
+    m_pendingAppend.reset();
     m_end = end;
     m_lastSeenAt = now;
     m_fence = end;
@@ -80,15 +80,16 @@
 
 bool OrderLease::isResting(const EngineId &engine, TimePoint now) const
 {
-    return now < m_restUntil
-           && std::find(m_resting.begin(), m_resting.end(), engine) != m_resting.end();
+    return now < m_handoverUntil
+           && std::find(m_recentlyOrdered.begin(), m_recentlyOrdered.end(), engine)
+                      != m_recentlyOrdered.end();
 }
 
 void OrderLease::appendInDoubt()
 {
-    m_inDoubt = m_underWay;
-    m_underWay.reset();
-    m_isCurrent = false;
+    m_uncertainAppend = m_pendingAppend;
+    m_pendingAppend.reset();
+    m_isLogCurrent = false;
 }
 
 } // namespace vanilladyke
--- a/src/vanilladyke/policy/order_lease_test.cpp
+++ b/src/vanilladyke/policy/order_lease_test.cpp
@@ -16,14 +16,14 @@
     return TimePoint(std::chrono::hours(1) + milliseconds(millis));
 }
 
-const EngineId theEngine("e"); ///< gets all orders of the walks
+const EngineId theEngine("e"); ///< receives all orders of the random walks
 
 LeaseRecord record(const std::string &holder, std::uint64_t attempt, bool isRelease = false)
 {
     return {holder, 1, attempt, isRelease, {}};
 }
 
-TEST(OrderLease, AnEmptyLogIsClaimedAfterPatience)
+TEST(OrderLease, AnEmptyLogIsClaimedAfterTheClaimDelay)
 {
     OrderLease lease("a", 1);
     EXPECT_FALSE(lease.nextAppend(true, milliseconds(100), {}, at(0))) << "the log was not read";
@@ -39,9 +39,9 @@
     EXPECT_FALSE(lease.mayOrder(at(1600))) << "counted from when the append was sent";
 }
 
-// A holder pauses, or its renewals are lost. Another node must not order before the first one has
-// stopped for as long as the platform asks.
-TEST(OrderLease, ANodeWaitsUntilASilentHolderCanNotOrderAnyMore)
+// A holder pauses, or its renewals are lost. Guards against another node that sends orders before
+// the first holder has sent none for the gap that the platform requires.
+TEST(OrderLease, ANodeWaitsUntilAnUnresponsiveHolderMayNoLongerOrder)
 {
     OrderLease lease("b", 1);
     lease.sawLog(3, record("a", 1), at(0));
@@ -49,7 +49,7 @@
     EXPECT_TRUE(lease.nextAppend(true, milliseconds(0), {}, at(5100)));
 }
 
-TEST(OrderLease, AReleaseIsTakenUpAtOnceButItsLastEnginesRest)
+TEST(OrderLease, AReleasedLeaseIsClaimedAtOnceButRecentlyOrderedEnginesWait)
 {
     OrderLease lease("b", 1);
     LeaseRecord last = record("a", 4, true);
@@ -63,16 +63,16 @@
     EXPECT_FALSE(lease.isResting(EngineId("e"), at(3700)));
 }
 
-TEST(OrderLease, ARestartedHolderGoesOnAtOnce)
+TEST(OrderLease, ARestartedHolderRenewsAtOnce)
 {
     OrderLease lease("a", 2);
     lease.sawLog(3, record("a", 9), at(0));
     EXPECT_TRUE(lease.nextAppend(true, milliseconds(0), {}, at(1)));
 }
 
-// The store takes a renewal and the answer is lost. The holder must neither order on as if it knew,
-// nor give the lease away that it has.
-TEST(OrderLease, AnAppendInDoubtIsSettledByTheLog)
+// The store accepts an append and the answer is lost. Guards against a node that sends orders
+// without having read the log again, and against one that drops a lease that it holds.
+TEST(OrderLease, AnAppendOfUnknownOutcomeIsResolvedByReadingTheLog)
 {
     OrderLease lease("a", 1);
     lease.sawLog(0, std::nullopt, at(0));
@@ -86,13 +86,12 @@
     EXPECT_EQ(lease.fence(), 1U);
 }
 
-/// A few nodes that use the product's lease over a log whose appends and answers are delayed, lost
-/// and overtaken, and that pause between their check and their order. One walk takes seeded
-/// choices.
-class LeaseWalk
+/// Random walk of a few nodes that use OrderLease over a log whose appends and answers are delayed,
+/// lost and reordered. Nodes pause between their check and their order. Choices depend on the seed.
+class LeaseRandomWalk
 {
 public:
-    explicit LeaseWalk(std::uint64_t seed)
+    explicit LeaseRandomWalk(std::uint64_t seed)
         : m_random(seed)
     {
         for (const char *name : {"a", "b", "c"}) {
@@ -101,7 +100,7 @@
     }
 
     int orders = 0;
-    int turns = 0;
+    int handovers = 0;
 
     void run(int steps)
     {
@@ -121,7 +120,7 @@
         std::string name;
         OrderLease lease;
         std::optional<LeaseAppend> sent;
-        std::optional<TimePoint> answeredAt; ///< the append took effect; the answer is on its way
+        std::optional<TimePoint> answeredAt; ///< the append took effect; the answer is in transit
         TimePoint pausedUntil;
     };
     struct Late
@@ -177,11 +176,11 @@
 
     void exchange(Node &node, const LeaseAppend &append)
     {
-        const double fate = uniform(m_random);
-        if (fate < 0.1) { // the answer is lost
+        const double outcome = uniform(m_random);
+        if (outcome < 0.1) { // the answer is lost
             take(append);
             node.lease.appendInDoubt();
-        } else if (fate < 0.2) { // carried out later
+        } else if (outcome < 0.2) { // takes effect later
             m_late.push_back({append, m_now + milliseconds(uniformBelow(m_random, 6000))});
             node.lease.appendInDoubt();
         } else if (take(append)) {
@@ -192,13 +191,13 @@
         }
     }
 
-    /// All orders go to one engine. One that left in time arrives within the margin.
+    /// All orders go to one engine. An order sent during the lease arrives within the margin.
     void order(Node &node)
     {
         const TimePoint arrives = m_now + milliseconds(uniformBelow(m_random, 500));
         ++orders;
         if (!m_lastHolder.empty() && m_lastHolder != node.name) {
-            ++turns;
+            ++handovers;
             EXPECT_GE(m_now - m_lastArrival, milliseconds(3000))
                     << m_lastHolder << " then " << node.name;
             EXPECT_GT(node.lease.fence(), m_lastFence);
@@ -220,22 +219,22 @@
     std::uint64_t m_lastFence = 0;
 };
 
-// Nodes pause, the store is away, answers are lost and appends are carried out seconds later, in
-// any order. Two nodes that order within the gap could leave an engine on weights that nobody named
-// last.
-TEST(OrderLease, NoTwoHoldersTakeTurnsWithinTheGapHoweverTheLogBehaves)
+// Nodes pause, the store is unavailable, answers are lost, and appends take effect seconds later
+// and in any order. Guards against two nodes that send orders within the gap, which could leave an
+// engine on weights other than those announced last.
+TEST(OrderLease, NoTwoHoldersOrderWithinTheGapHoweverTheLogBehaves)
 {
     int orders = 0;
-    int turns = 0;
+    int handovers = 0;
     for (std::uint64_t seed = 1; seed <= 400; ++seed) {
-        LeaseWalk walk(seed);
+        LeaseRandomWalk walk(seed);
         walk.run(600);
         orders += walk.orders;
-        turns += walk.turns;
+        handovers += walk.handovers;
         ASSERT_FALSE(::testing::Test::HasFailure()) << "seed " << seed;
     }
     EXPECT_GT(orders, 1000);
-    EXPECT_GT(turns, 100) << "the walks must reach the case that they are for";
+    EXPECT_GT(handovers, 100) << "the walks must reach changes of the holder";
 }
 
 } // namespace
