--- a/include/vanilladyke/policy/lease_reach.hpp
+++ b/include/vanilladyke/policy/lease_reach.hpp
@@ -5,48 +5,51 @@
 
 #include <map>
 
-/// Whether the holder of the lease of orders should hand it on, since engines don't answer it.
+/// Decides whether the holder of the order lease should release it because engines don't answer.
 ///
-/// Load pattern: the links between the holder and engines are cut, lose packets or are choked,
-/// while the holder still reaches the store. It renews the lease for as long as that lasts, and
-/// nobody else may order: the engines stay on old weights.
+/// Load pattern: the links between the holder and the engines are cut, lose packets or are
+/// congested, while the holder still reaches the store. It would renew the lease for as long as the
+/// fault lasts. No other node may send orders meanwhile, so the engines stay on old weights.
 namespace vanilladyke {
 
-/// @brief What one node sees of the engines to which it gives orders. Pure.
+/// @brief Whether the engines to which a node sends orders answer its queries. Pure: performs no
+/// I/O.
 class LeaseReach
 {
 public:
-    /// Fewer tries without an answer may be engines that are down.
+    /// Fewer unanswered queries may be due to engines that are down.
     static constexpr int LeastFailures = 3;
-    /// Two questions in a row fit in it.
+    /// Long enough for two consecutive queries.
     static constexpr Duration LongestSilence = std::chrono::milliseconds(1500);
-    /// A node that handed the lease on leaves it to others for so long. No longer: after an outage
-    /// of all engines, nodes that all pause would leave new weights to nobody.
+    /// Time in which a node that released the lease does not claim it. Kept short: after an outage
+    /// of all engines every node may be in this pause, and none would roll out new weights.
     static constexpr Duration Pause = std::chrono::seconds(4);
 
-    /// @brief The engine answered a question. Orders count for nothing here: an engine that is
-    /// reached may leave one unanswered, whoever gives it.
+    /// @brief Records that the engine answered a query. Orders are not counted: a reachable engine
+    /// may leave an order unanswered, whichever node sent it.
     void answered(const EngineId &engine, TimePoint now);
-    /// @brief The engine did not answer a question in time.
+    /// @brief Records that the engine did not answer a query in time.
     void failed(const EngineId &engine, TimePoint now);
-    /// @brief Whether, for LongestSilence, no engine answered, or more were silent than answered.
+    /// @brief Whether, for LongestSilence, no engine answered, or more engines were unresponsive
+    /// than answered.
     [[nodiscard]] bool isLost(TimePoint now) const;
-    /// @brief No orders are wanted: what was seen says nothing of the next time.
+    /// @brief Discards all results, when there are no more orders to send: they will be out of date
+    /// when the next orders are due.
     void forget();
-    /// @brief This node gives the lease back for that reason.
+    /// @brief Records that this node releases the lease because the engines are unreachable.
     void handedOn(TimePoint now);
-    /// @brief This node leaves the lease to others.
+    /// @brief Whether this node does not claim the lease at @p now.
     [[nodiscard]] bool isPausing(TimePoint now) const { return now < m_pausesUntil; }
     [[nodiscard]] int failures() const { return m_failures; }
 
 private:
-    [[nodiscard]] bool mostAreSilent() const;
-    void note(const EngineId &engine, bool hasAnswered, TimePoint now);
+    [[nodiscard]] bool isMajorityUnresponsive() const;
+    void record(const EngineId &engine, bool hasAnswered, TimePoint now);
 
-    std::map<EngineId, bool> m_hasAnswered; ///< each engine, when it was asked last
-    int m_failures = 0;                     ///< since an engine answered
-    TimePoint m_silentSince;                ///< no engine answered since
-    TimePoint m_mostSilentSince;
+    std::map<EngineId, bool> m_hasAnswered; ///< by engine: result of the last query
+    int m_failures = 0;                     ///< unanswered queries since the last answer
+    TimePoint m_unansweredSince;            ///< start of the time without any answer
+    TimePoint m_majorityUnresponsiveSince;
     TimePoint m_pausesUntil;
 };
 
--- a/src/vanilladyke/policy/lease_reach.cpp
+++ b/src/vanilladyke/policy/lease_reach.cpp
@@ -4,43 +4,45 @@
 
 namespace vanilladyke {
 
-void LeaseReach::note(const EngineId &engine, bool hasAnswered, TimePoint now)
+void LeaseReach::record(const EngineId &engine, bool hasAnswered, TimePoint now)
 {
-    const bool wereMostSilent = mostAreSilent();
+    const bool wasMajorityUnresponsive = isMajorityUnresponsive();
     m_hasAnswered[engine] = hasAnswered;
-    if (!wereMostSilent) {
-        m_mostSilentSince = now;
+    if (!wasMajorityUnresponsive) {
+        m_majorityUnresponsiveSince = now;
     }
 }
 
 void LeaseReach::answered(const EngineId &engine, TimePoint now)
 {
-    note(engine, true, now);
+    record(engine, true, now);
     m_failures = 0;
-    m_silentSince = now;
+    m_unansweredSince = now;
 }
 
 void LeaseReach::failed(const EngineId &engine, TimePoint now)
 {
-    note(engine, false, now);
-    // The first of many may have been asked long after the last answer.
+    record(engine, false, now);
+    // The first query may have been sent long after the last answer; that time must not count.
     if (m_failures++ == 0) {
-        m_silentSince = std::max(m_silentSince, now - LongestSilence / 2);
+        m_unansweredSince = std::max(m_unansweredSince, now - LongestSilence / 2);
     }
 }
 
-bool LeaseReach::mostAreSilent() const
+bool LeaseReach::isMajorityUnresponsive() const
 {
-    const auto silent = std::count_if(m_hasAnswered.begin(), m_hasAnswered.end(),
-                                      [](const auto &item) { return !item.second; });
+    const auto unresponsive = std::count_if(m_hasAnswered.begin(), m_hasAnswered.end(),
+                                            [](const auto &item) { return !item.second; });
     const auto size = static_cast<std::ptrdiff_t>(m_hasAnswered.size());
-    return silent >= LeastFailures && 2 * silent > size;
+    return unresponsive >= LeastFailures && 2 * unresponsive > size;
 }
 
 bool LeaseReach::isLost(TimePoint now) const
 {
-    const bool areAllSilent = m_failures >= LeastFailures && now - m_silentSince >= LongestSilence;
-    return areAllSilent || (mostAreSilent() && now - m_mostSilentSince >= LongestSilence);
+    const bool areAllUnresponsive =
+            m_failures >= LeastFailures && now - m_unansweredSince >= LongestSilence;
+    return areAllUnresponsive
+           || (isMajorityUnresponsive() && now - m_majorityUnresponsiveSince >= LongestSilence);
 }
 
 void LeaseReach::handedOn(TimePoint now)
