--- a/include/vanilladyke/policy/orders.hpp
+++ b/include/vanilladyke/policy/orders.hpp
@@ -9,17 +9,18 @@
 #include <optional>
 #include <vector>
 
-/// Orders to engines: which engines are to load what, which may do so now, and who tells them.
+/// Load orders to engines: which models each engine has to load, which engines may do so now, and
+/// which node sends the order.
 ///
-/// Load pattern: a bundle names new weights for a model, or moves models between engines. Without
-/// pacing all engines load at once: each takes several times as long, and no engine is left to
-/// serve. Here at most `loads_at_once` engines change at a time, and an engine is only taken while
-/// another one serves each model that it would give up. All nodes compute the same plan from the
-/// same bundle and reports, so nobody has to be asked; a node that sees an engine's report a little
-/// later than another one holds back longer, never shorter, than it should.
+/// Load pattern: a bundle announces new weights for a model, or moves models between engines.
+/// Without a limit all engines load at once: each load takes several times as long, and no engine
+/// is left to serve. At most `loads_at_once` engines change at a time, and an engine is selected
+/// only while another one serves each model that it would stop serving. All nodes compute the same
+/// plan from the same bundle and reports, without coordination. A node that receives an engine's
+/// report later than another waits longer than necessary, never shorter.
 namespace vanilladyke {
 
-/// @brief A model with all that belongs to it, as an engine holds it or is to hold it.
+/// @brief A model with its weights and adapters, as loaded on an engine or required by the bundle.
 struct HeldModel
 {
     ModelId model;
@@ -29,7 +30,7 @@
     bool operator==(const HeldModel &) const = default;
 };
 
-/// @brief What this node knows of one engine. Lists of these are in the order of the bundle's
+/// @brief The last reported state of one engine. Lists of these are in the order of the bundle's
 /// engines.
 struct EngineHolding
 {
@@ -37,43 +38,44 @@
     bool leaving = false;
     std::vector<HeldModel> held;
     std::vector<HeldModel> loading;
-    std::uint32_t busy = 0; ///< requests running and waiting
+    std::uint32_t busy = 0; ///< number of running and waiting requests
 };
 
-/// @brief The weights that each model is served in: the wanted ones as soon as one engine holds
-/// them, until then the ones before, so that a roll doesn't stop the model for a loading time.
+/// @brief The weights in which each model is served: the bundle's weights as soon as one engine has
+/// loaded them, until then the previous ones, so that the model stays available during the load.
 using WeightsInService = std::map<ModelId, WeightsVersion>;
 
-/// @brief Moves each model on to the bundle's weights when an engine holds them; never back.
-/// @param before the result of the last call
+/// @brief Switches each model to the bundle's weights once an engine has loaded them; never back.
+/// @param before the result of the previous call
 [[nodiscard]] WeightsInService nextInService(const Bundle &bundle,
                                              const std::vector<EngineHolding> &engines,
                                              const WeightsInService &before);
 
-/// @brief What the bundle wants an engine to hold.
-[[nodiscard]] std::vector<HeldModel> wantedOf(const Bundle &bundle, const EngineEntry &entry);
+/// @brief The models that the bundle requires on an engine.
+[[nodiscard]] std::vector<HeldModel> requiredModels(const Bundle &bundle, const EngineEntry &entry);
 
-/// @brief Whether the engine holds all that it is to hold, and nothing of it in other weights.
-[[nodiscard]] bool holdsWanted(const std::vector<HeldModel> &wanted,
-                               const std::vector<HeldModel> &held);
+/// @brief Whether all required models are loaded, with the required weights and adapters.
+[[nodiscard]] bool holdsRequired(const std::vector<HeldModel> &required,
+                                 const std::vector<HeldModel> &held);
 
-/// @brief The engines that may change now, at most `loads_at_once`: they get no new work.
-/// @param offset of the bundle in the log; it decides the order in which engines are taken
+/// @brief The engines that may change now, at most `loads_at_once`; they get no new requests.
+/// @param offset of the bundle in the log; determines the order in which engines are selected
 [[nodiscard]] std::vector<EngineId> enginesToChange(const Bundle &bundle, LogOffset offset,
                                                     const std::vector<EngineHolding> &engines,
                                                     const WeightsInService &inService);
 
-/// @brief The node that orders this engine, by rendezvous over the live nodes; none without nodes.
+/// @brief The node that sends orders to this engine, by rendezvous hashing over the live nodes.
+/// @return none if there are no live nodes
 [[nodiscard]] std::optional<NodeId> ordererOf(const EngineId &engine,
                                               const std::vector<NodeId> &liveNodes);
 
-/// @brief An order as it goes to an engine.
+/// @brief An order as sent to an engine.
 struct EngineOrder
 {
     EngineId engine;
     Endpoint endpoint;
-    LogOffset fencing = 0; ///< the bundle's offset: an engine refuses one below the highest seen
-    std::uint64_t sequence = 0; ///< rises within one fencing number
+    LogOffset fencing = 0;      ///< the bundle's offset; an engine rejects one below its highest
+    std::uint64_t sequence = 0; ///< increases within one fencing number
     std::vector<HeldModel> models;
     EngineRole role = EngineRole::Serving;
 };
@@ -81,21 +83,22 @@
 /// @brief Timing of orders to one engine.
 struct OrderTiming
 {
-    /// Requests that an engine still runs are let finish for so long before it is told to load.
+    /// Longest time for the engine's requests to finish before the order is sent.
     Duration drainWithin = std::chrono::seconds(10);
-    /// An engine that does not even begin to load by then is ordered again: the order was lost, or
-    /// an engine that ignores fencing took an old one after it.
+    /// Time after which an engine that has not started to load is ordered again: the order was
+    /// lost, or an engine that ignores fencing executed an older order after it.
     Duration againAfter = std::chrono::seconds(1);
 };
 
-/// @brief Decides when this node sends which order. Pure.
+/// @brief Decides when this node sends which order. Pure: performs no I/O.
 class OrderPlan
 {
 public:
     explicit OrderPlan(NodeId self, OrderTiming timing = {});
 
     /// @brief The orders to send now.
-    /// @param wallNow gives the sequence numbers: a node that takes over goes on above them
+    /// @param wallNow gives the sequence numbers, so that a node that takes over continues above
+    /// those of its predecessor
     [[nodiscard]] std::vector<EngineOrder> due(const Bundle &bundle, LogOffset offset,
                                                const std::vector<EngineHolding> &engines,
                                                const std::vector<EngineId> &changing,
--- a/src/vanilladyke/policy/orders.cpp
+++ b/src/vanilladyke/policy/orders.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-std::uint64_t weightOf(const std::string &key, const std::string &item)
+std::uint64_t hashOf(const std::string &key, const std::string &item)
 {
     const std::string both = key + '\n' + item;
     return XXH3_64bits(both.data(), both.size());
@@ -30,7 +30,7 @@
     return engine.reachable && !engine.leaving;
 }
 
-/// How the change of one engine would leave the models that it serves now.
+/// Counts the engines that serve each model, to check which engine can be selected out of service.
 class ServingCount
 {
 public:
@@ -48,15 +48,16 @@
         }
     }
 
-    [[nodiscard]] bool mayLose(const EngineHolding &engine, const EngineEntry &entry) const
+    [[nodiscard]] bool mayRemove(const EngineHolding &engine, const EngineEntry &entry) const
     {
         return std::none_of(entry.models.begin(), entry.models.end(), [&](const ModelId &model) {
-            // The only engine that a model has can't be spared, and nothing else could load for it.
+            // An engine that is the only one assigned to a model has to change anyway: no other
+            // engine could load the new weights first.
             return serves(engine, model) && m_serving.at(model) < 2 && m_assigned.at(model) > 1;
         });
     }
 
-    void lose(const EngineHolding &engine, const EngineEntry &entry)
+    void remove(const EngineHolding &engine, const EngineEntry &entry)
     {
         for (const ModelId &model : entry.models) {
             if (serves(engine, model)) {
@@ -84,31 +85,31 @@
 {
     WeightsInService next;
     for (const Model &model : bundle.models) {
-        const bool arrived =
+        const bool isLoaded =
                 std::any_of(engines.begin(), engines.end(), [&](const EngineHolding &engine) {
                     return canServe(engine) && holdsWeights(engine.held, model.id, model.weights);
                 });
-        const auto known = before.find(model.id);
-        const bool keep = known != before.end() && !arrived;
-        next[model.id] = keep ? known->second : model.weights;
+        const auto previous = before.find(model.id);
+        const bool keepsPrevious = previous != before.end() && !isLoaded;
+        next[model.id] = keepsPrevious ? previous->second : model.weights;
     }
     return next;
 }
 
-std::vector<HeldModel> wantedOf(const Bundle &bundle, const EngineEntry &entry)
+std::vector<HeldModel> requiredModels(const Bundle &bundle, const EngineEntry &entry)
 {
-    std::vector<HeldModel> wanted;
+    std::vector<HeldModel> required;
     for (const ModelId &id : entry.models) {
         if (const Model *model = findModel(bundle, id)) {
-            wanted.push_back({id, model->weights, model->adapters});
+            required.push_back({id, model->weights, model->adapters});
         }
     }
-    return wanted;
+    return required;
 }
 
-bool holdsWanted(const std::vector<HeldModel> &wanted, const std::vector<HeldModel> &held)
+bool holdsRequired(const std::vector<HeldModel> &required, const std::vector<HeldModel> &held)
 {
-    return std::all_of(wanted.begin(), wanted.end(), [&](const HeldModel &each) {
+    return std::all_of(required.begin(), required.end(), [&](const HeldModel &each) {
         return std::find(held.begin(), held.end(), each) != held.end();
     });
 }
@@ -121,43 +122,43 @@
     {
         const EngineEntry *entry;
         const EngineHolding *holding;
-        bool begun;
+        bool isLoading;
         std::uint64_t rank;
     };
     std::vector<Candidate> candidates;
     for (std::size_t i = 0; i < bundle.engines.size(); ++i) {
         const EngineEntry &entry = bundle.engines[i];
         const EngineHolding &holding = engines.at(i);
-        if (canServe(holding) && !holdsWanted(wantedOf(bundle, entry), holding.held)) {
+        if (canServe(holding) && !holdsRequired(requiredModels(bundle, entry), holding.held)) {
             candidates.push_back({&entry, &holding, !holding.loading.empty(),
-                                  weightOf(std::to_string(offset), entry.id.str())});
+                                  hashOf(std::to_string(offset), entry.id.str())});
         }
     }
-    // Those that load already count first: they take up the pace whatever is decided here.
+    // Engines that are already loading come first: they use up the limit in any case.
     std::sort(candidates.begin(), candidates.end(), [](const Candidate &a, const Candidate &b) {
-        return std::tuple(!a.begun, a.rank) < std::tuple(!b.begun, b.rank);
+        return std::tuple(!a.isLoading, a.rank) < std::tuple(!b.isLoading, b.rank);
     });
     ServingCount serving(bundle, engines, inService);
-    std::vector<EngineId> taken;
+    std::vector<EngineId> selected;
     for (const Candidate &candidate : candidates) {
-        if (taken.size() >= bundle.limits.loadsAtOnce) {
+        if (selected.size() >= bundle.limits.loadsAtOnce) {
             break;
         }
-        if (candidate.begun || serving.mayLose(*candidate.holding, *candidate.entry)) {
-            serving.lose(*candidate.holding, *candidate.entry);
-            taken.push_back(candidate.entry->id);
+        if (candidate.isLoading || serving.mayRemove(*candidate.holding, *candidate.entry)) {
+            serving.remove(*candidate.holding, *candidate.entry);
+            selected.push_back(candidate.entry->id);
         }
     }
-    return taken;
+    return selected;
 }
 
 std::optional<NodeId> ordererOf(const EngineId &engine, const std::vector<NodeId> &liveNodes)
 {
-    const auto heaviest = std::max_element(
+    const auto highest = std::max_element(
             liveNodes.begin(), liveNodes.end(), [&](const NodeId &a, const NodeId &b) {
-                return weightOf(engine.str(), a.str()) < weightOf(engine.str(), b.str());
+                return hashOf(engine.str(), a.str()) < hashOf(engine.str(), b.str());
             });
-    return heaviest == liveNodes.end() ? std::nullopt : std::optional(*heaviest);
+    return highest == liveNodes.end() ? std::nullopt : std::optional(*highest);
 }
 
 OrderPlan::OrderPlan(NodeId self, OrderTiming timing)
@@ -188,17 +189,17 @@
         if (progress.offset != offset || progress.drainUntil == TimePoint()) {
             progress = {offset, now + m_timing.drainWithin, std::nullopt};
         }
-        const std::vector<HeldModel> wanted = wantedOf(bundle, entry);
-        std::vector<HeldModel> coming = holding.held;
-        coming.insert(coming.end(), holding.loading.begin(), holding.loading.end());
+        const std::vector<HeldModel> required = requiredModels(bundle, entry);
+        std::vector<HeldModel> heldOrLoading = holding.held;
+        heldOrLoading.insert(heldOrLoading.end(), holding.loading.begin(), holding.loading.end());
         const bool drained = holding.busy == 0 || now >= progress.drainUntil;
-        const bool waitsForLast = progress.sentAt && now - *progress.sentAt < m_timing.againAfter;
-        if (!drained || waitsForLast || holdsWanted(wanted, coming)) {
+        const bool isInRetryDelay = progress.sentAt && now - *progress.sentAt < m_timing.againAfter;
+        if (!drained || isInRetryDelay || holdsRequired(required, heldOrLoading)) {
             continue;
         }
         progress.sentAt = now;
         orders.push_back({entry.id, entry.endpoint, offset,
-                          static_cast<std::uint64_t>(sequence.count()), wanted, entry.role});
+                          static_cast<std::uint64_t>(sequence.count()), required, entry.role});
     }
     return orders;
 }
--- a/src/vanilladyke/policy/orders_test.cpp
+++ b/src/vanilladyke/policy/orders_test.cpp
@@ -20,10 +20,10 @@
     return {copy, WeightsVersion(weights), {}};
 }
 
-/// A bundle that wants w2 on every engine, and the engines as they are before it.
-struct Roll
+/// A bundle that requires w2 on every engine, and the engines in their state before it.
+struct Rollout
 {
-    explicit Roll(std::size_t engineCount, std::uint32_t loadsAtOnce = 2)
+    explicit Rollout(std::size_t engineCount, std::uint32_t loadsAtOnce = 2)
     {
         bundle.models.push_back({copy, WeightsVersion("w2"), {}});
         bundle.limits.loadsAtOnce = loadsAtOnce;
@@ -70,75 +70,75 @@
     WeightsInService inService{{copy, WeightsVersion("w1")}};
 };
 
-// New weights for a model that two engines serve. Were both to load at once, every request would
-// wait for a loading time or be refused.
+// New weights for a model that two engines serve. Guards against both loading at once: every
+// request would wait for the load to finish or be refused.
 TEST(Orders, TheLastReadyEngineIsKeptUntilAnotherHasTheNewWeights)
 {
-    Roll roll(2);
-    const std::vector<EngineId> first = roll.change();
+    Rollout rollout(2);
+    const std::vector<EngineId> first = rollout.change();
     ASSERT_EQ(first.size(), 1U);
-    EXPECT_EQ(roll.inService.at(copy), WeightsVersion("w1"));
-    roll.holding(first[0]).held = {inWeights("w2")};
-    const std::vector<EngineId> second = roll.change();
-    EXPECT_EQ(roll.inService.at(copy), WeightsVersion("w2"));
+    EXPECT_EQ(rollout.inService.at(copy), WeightsVersion("w1"));
+    rollout.holding(first[0]).held = {inWeights("w2")};
+    const std::vector<EngineId> second = rollout.change();
+    EXPECT_EQ(rollout.inService.at(copy), WeightsVersion("w2"));
     ASSERT_EQ(second.size(), 1U);
     EXPECT_NE(first[0], second[0]);
 }
 
-TEST(Orders, TheOnlyEngineOfAModelIsChangedAllTheSame)
+TEST(Orders, TheOnlyEngineOfAModelIsChangedAnyway)
 {
-    Roll roll(1);
-    EXPECT_EQ(roll.change().size(), 1U);
+    Rollout rollout(1);
+    EXPECT_EQ(rollout.change().size(), 1U);
 }
 
-// The engine that had brought the new weights crashes. A caller that was answered from them must
-// not be answered from the old ones after that.
+// The only engine with the new weights crashes. Guards against a caller that is answered from old
+// weights after an answer from the new ones.
 TEST(Orders, WeightsInServiceNeverGoBack)
 {
-    Roll roll(3);
-    const EngineId first = roll.change().at(0);
-    roll.holding(first).held = {inWeights("w2")};
-    static_cast<void>(roll.change());
-    roll.holding(first).reachable = false;
-    static_cast<void>(roll.change());
-    EXPECT_EQ(roll.inService.at(copy), WeightsVersion("w2"));
+    Rollout rollout(3);
+    const EngineId first = rollout.change().at(0);
+    rollout.holding(first).held = {inWeights("w2")};
+    static_cast<void>(rollout.change());
+    rollout.holding(first).reachable = false;
+    static_cast<void>(rollout.change());
+    EXPECT_EQ(rollout.inService.at(copy), WeightsVersion("w2"));
 }
 
-TEST(Orders, AnEngineThatIsLeavingOrAwayIsNotTaken)
+TEST(Orders, AnEngineThatIsLeavingOrUnreachableIsNotSelected)
 {
-    Roll roll(3);
-    roll.engines[0].leaving = true;
-    roll.engines[1].reachable = false;
-    EXPECT_TRUE(roll.change().empty()) << "the third is the last that serves";
+    Rollout rollout(3);
+    rollout.engines[0].leaving = true;
+    rollout.engines[1].reachable = false;
+    EXPECT_TRUE(rollout.change().empty()) << "the third is the last one that serves";
 }
 
-RC_GTEST_PROP(Orders, ARollEndsWithinThePaceAndNeverStopsTheModel, ())
+RC_GTEST_PROP(Orders, ARolloutCompletesWithinTheLimitAndNeverStopsTheModel, ())
 {
     const auto count = *rc::gen::inRange<std::size_t>(2, 24);
-    const auto pace = *rc::gen::inRange<std::uint32_t>(1, 4);
-    Roll roll(count, pace);
+    const auto limit = *rc::gen::inRange<std::uint32_t>(1, 4);
+    Rollout rollout(count, limit);
     for (std::size_t round = 0; round < 2 * count; ++round) {
-        const std::vector<EngineId> changing = roll.change();
-        RC_ASSERT(changing.size() <= pace);
-        RC_ASSERT(roll.serving(changing) >= 1);
+        const std::vector<EngineId> changing = rollout.change();
+        RC_ASSERT(changing.size() <= limit);
+        RC_ASSERT(rollout.serving(changing) >= 1);
         if (changing.empty()) {
             break;
         }
-        // Any one of them is done first.
+        // A random one of them completes first.
         const auto done = *rc::gen::inRange<std::size_t>(0, changing.size());
         for (const EngineId &engine : changing) {
-            roll.holding(engine).loading = {inWeights("w2")};
+            rollout.holding(engine).loading = {inWeights("w2")};
         }
-        roll.holding(changing[done]).loading.clear();
-        roll.holding(changing[done]).held = {inWeights("w2")};
+        rollout.holding(changing[done]).loading.clear();
+        rollout.holding(changing[done]).held = {inWeights("w2")};
     }
-    RC_ASSERT(roll.change().empty());
-    for (const EngineHolding &engine : roll.engines) {
+    RC_ASSERT(rollout.change().empty());
+    for (const EngineHolding &engine : rollout.engines) {
         RC_ASSERT(engine.held == std::vector{inWeights("w2")});
     }
 }
 
-TEST(Orders, AllNodesNameTheSameOrdererWhateverTheirOrderOfNodes)
+TEST(Orders, AllNodesSelectTheSameOrdererInAnyOrderOfNodes)
 {
     const std::vector<NodeId> nodes{NodeId("n1"), NodeId("n2"), NodeId("n3")};
     std::map<NodeId, int> engines;
@@ -158,54 +158,54 @@
     std::vector<EngineOrder> due(TimePoint now)
     {
         const WallTime wall{now.time_since_epoch()};
-        return m_plan.due(m_roll.bundle, Offset, m_roll.engines, m_roll.change(), {NodeId("n1")},
-                          now, wall);
+        return m_plan.due(m_rollout.bundle, Offset, m_rollout.engines, m_rollout.change(),
+                          {NodeId("n1")}, now, wall);
     }
 
-    Roll m_roll{1};
+    Rollout m_rollout{1};
     OrderPlan m_plan{NodeId("n1")};
 };
 
-TEST_F(OrderPlanTest, AnEngineFinishesItsRequestsFirstButNotForEver)
+TEST_F(OrderPlanTest, AnEngineDrainsBeforeItsOrderForALimitedTime)
 {
-    m_roll.engines[0].busy = 3;
+    m_rollout.engines[0].busy = 3;
     EXPECT_TRUE(due(start).empty());
     EXPECT_TRUE(due(start + seconds(9)).empty());
     EXPECT_EQ(due(start + seconds(10)).size(), 1U);
 }
 
-TEST_F(OrderPlanTest, AnOrderThatIsFollowedIsNotRepeated)
+TEST_F(OrderPlanTest, AnOrderInExecutionIsNotRepeated)
 {
     const std::vector<EngineOrder> orders = due(start);
     ASSERT_EQ(orders.size(), 1U);
     EXPECT_EQ(orders[0].fencing, Offset);
     EXPECT_EQ(orders[0].models, std::vector{inWeights("w2")});
     EXPECT_TRUE(due(start + milliseconds(100)).empty());
-    m_roll.engines[0].loading = {inWeights("w2")};
+    m_rollout.engines[0].loading = {inWeights("w2")};
     EXPECT_TRUE(due(start + seconds(5)).empty());
 }
 
-// A node was paused with an order in hand, and sends it after a newer one. The engine ignores
-// fencing numbers and takes it: the customer would get answers from older weights.
-TEST_F(OrderPlanTest, AnEngineThatTookAnOldOrderIsOrderedAgain)
+// A node that was paused before it sent an order sends it after a newer one, and the engine ignores
+// fencing numbers and executes it. Guards against answers to the customer from older weights.
+TEST_F(OrderPlanTest, AnEngineThatExecutedAnOldOrderIsOrderedAgain)
 {
     const std::vector<EngineOrder> first = due(start);
-    m_roll.engines[0].held = {inWeights("w2")};
+    m_rollout.engines[0].held = {inWeights("w2")};
     EXPECT_TRUE(due(start + seconds(1)).empty());
-    m_roll.engines[0].held = {inWeights("w1")};
+    m_rollout.engines[0].held = {inWeights("w1")};
     const std::vector<EngineOrder> again = due(start + seconds(2));
     ASSERT_EQ(again.size(), 1U);
     EXPECT_GT(again[0].sequence, first.at(0).sequence);
 }
 
-TEST_F(OrderPlanTest, AnotherNodesEngineIsLeftToIt)
+TEST_F(OrderPlanTest, OnlyOneNodeOrdersAnEngine)
 {
     const std::vector<NodeId> nodes{NodeId("n1"), NodeId("n2")};
     int sent = 0;
     for (const char *self : {"n1", "n2"}) {
         OrderPlan plan{NodeId(self)};
-        sent += static_cast<int>(plan.due(m_roll.bundle, Offset, m_roll.engines, m_roll.change(),
-                                          nodes, start, WallTime())
+        sent += static_cast<int>(plan.due(m_rollout.bundle, Offset, m_rollout.engines,
+                                          m_rollout.change(), nodes, start, WallTime())
                                          .size());
     }
     EXPECT_EQ(sent, 1);
