--- a/src/vanilladyke/policy/bundle_fold.cpp
+++ b/src/vanilladyke/policy/bundle_fold.cpp
@@ -7,11 +7,12 @@
 
 namespace {
 
-/// A checkpoint is written anew when its point has used up this part of the retention, so that
-/// two attempts may fail before the log drops it.
+/// A new checkpoint is written when the last one has reached this fraction of the retention, so
+/// that two attempts may fail before the log drops the records that readers need.
 constexpr int RetentionParts = 3;
 
-FoldNote noteOf(LogOffset offset, const std::string &nonce, FoldVerdict verdict, std::string reason)
+FoldNote makeNote(LogOffset offset, const std::string &nonce, FoldVerdict verdict,
+                  std::string reason)
 {
     FoldNote note;
     note.offset = offset;
@@ -64,7 +65,7 @@
 {
     m_firstKept = page.firstOffset;
     if (page.firstOffset > m_next) {
-        noteGap(page.firstOffset);
+        recordGap(page.firstOffset);
     }
     std::vector<FoldNote> notes;
     for (const LogRecord &record : page.records) {
@@ -72,37 +73,38 @@
             continue;
         }
         if (record.offset > m_next) {
-            noteGap(record.offset);
+            recordGap(record.offset);
         }
         m_next = record.offset + 1;
-        notes.push_back(take(record));
+        notes.push_back(applyRecord(record));
         notes.back().acceptedVersion = m_accepted ? m_accepted->entry.version : 0;
     }
     m_caughtUp = m_next >= page.nextOffset;
     if (m_caughtUp && !m_unbroken && !m_accepted) {
-        settleOnRestart();
+        acceptRestart();
     }
     return notes;
 }
 
-/// The log dropped records that this reader never saw: from here on a loser looks like a winner.
-void BundleFold::noteGap(LogOffset firstOffset)
+/// The log dropped records that this reader did not read. Without a checkpoint, it can no longer
+/// decide which of several concurrent publications was accepted.
+void BundleFold::recordGap(LogOffset firstOffset)
 {
     m_unbroken = false;
-    m_waiting.clear();
+    m_undecided.clear();
     m_viewStart = firstOffset;
     m_next = firstOffset;
 }
 
-FoldNote BundleFold::take(const LogRecord &record)
+FoldNote BundleFold::applyRecord(const LogRecord &record)
 {
     auto parsed = parseBundleRecord(record.data);
     if (!parsed) {
-        return noteOf(record.offset, "", FoldVerdict::Refused, parsed.error());
+        return makeNote(record.offset, "", FoldVerdict::Refused, parsed.error());
     }
     const auto header = parseBundleHeader(parsed->bundle.text);
     if (!header) {
-        return noteOf(record.offset, parsed->nonce, FoldVerdict::Refused, header.error());
+        return makeNote(record.offset, parsed->nonce, FoldVerdict::Refused, header.error());
     }
     Publication publication;
     publication.offset = record.offset;
@@ -114,42 +116,42 @@
     publication.bundle = parsed->bundle;
     if (publication.signers.size() < m_trusted.needed) {
         FoldNote note =
-                noteOf(record.offset, parsed->nonce, FoldVerdict::Refused,
-                       std::to_string(publication.signers.size()) + " trusted signatures hold, "
-                               + std::to_string(m_trusted.needed) + " are needed");
+                makeNote(record.offset, parsed->nonce, FoldVerdict::Refused,
+                         std::to_string(publication.signers.size()) + " valid trusted signatures, "
+                                 + std::to_string(m_trusted.needed) + " required");
         note.version = header->version;
         return note;
     }
-    FoldNote note = parsed->checkpoint ? takeCheckpoint(*parsed, std::move(publication))
-                                       : takePublication(std::move(publication));
+    FoldNote note = parsed->checkpoint ? applyCheckpoint(*parsed, std::move(publication))
+                                       : applyPublication(std::move(publication));
     note.version = header->version;
     return note;
 }
 
-FoldNote BundleFold::takePublication(Publication publication)
+FoldNote BundleFold::applyPublication(Publication publication)
 {
     if (m_unbroken) {
-        return judge(publication);
+        return evaluate(publication);
     }
-    FoldNote note = noteOf(publication.offset, publication.nonce, FoldVerdict::Waiting,
-                           "records before it were dropped by the log");
-    m_waiting.push_back(std::move(publication));
+    FoldNote note = makeNote(publication.offset, publication.nonce, FoldVerdict::Waiting,
+                             "the log dropped records before it");
+    m_undecided.push_back(std::move(publication));
     return note;
 }
 
-FoldNote BundleFold::judge(const Publication &publication)
+FoldNote BundleFold::evaluate(const Publication &publication)
 {
     const auto verdict = [&](FoldVerdict value, std::string reason) {
-        return noteOf(publication.offset, publication.nonce, value, std::move(reason));
+        return makeNote(publication.offset, publication.nonce, value, std::move(reason));
     };
     if (m_accepted && publication.digest == m_accepted->entry.digest) {
-        return verdict(FoldVerdict::Accepted, "the same bundle is in force already");
+        return verdict(FoldVerdict::Accepted, "the same bundle is already in force");
     }
     if (!extends(m_accepted, publication.header)) {
         return verdict(FoldVerdict::LostRace, "its parent is not the accepted bundle");
     }
     if (m_accepted && publication.header.version <= m_accepted->entry.version) {
-        return verdict(FoldVerdict::Refused, "its version is not above the accepted one");
+        return verdict(FoldVerdict::Refused, "its version is not above the accepted version");
     }
     accept(publication);
     return verdict(FoldVerdict::Accepted, "");
@@ -171,37 +173,42 @@
     m_accepted = AcceptedBundle{publication.bundle, std::move(entry)};
 }
 
-FoldNote BundleFold::takeCheckpoint(const BundleRecord &record, Publication repeated)
+FoldNote BundleFold::applyCheckpoint(const BundleRecord &record, Publication repeated)
 {
     const CheckpointPart &checkpoint = *record.checkpoint;
     const HistoryEntry &last = checkpoint.history.back();
-    const bool ownEntry = last.digest == repeated.digest && last.version == repeated.header.version
-                          && last.offset < checkpoint.asOf && checkpoint.asOf <= repeated.offset;
+    const bool isConsistent =
+            last.digest == repeated.digest && last.version == repeated.header.version
+            && last.offset < checkpoint.asOf && checkpoint.asOf <= repeated.offset;
     const auto verdict = [&](FoldVerdict value, std::string reason) {
-        return noteOf(repeated.offset, repeated.nonce, value, std::move(reason));
+        return makeNote(repeated.offset, repeated.nonce, value, std::move(reason));
     };
-    if (!ownEntry) {
-        return verdict(FoldVerdict::Refused, "the checkpoint contradicts itself");
+    if (!isConsistent) {
+        return verdict(FoldVerdict::Refused,
+                       "the checkpoint is inconsistent with its bundle or offset");
     }
     if (!m_unbroken) {
         if (checkpoint.asOf < m_viewStart) {
-            return verdict(FoldVerdict::Waiting, "the log dropped records after its point");
+            return verdict(FoldVerdict::Waiting,
+                           "the log dropped records after the checkpoint's offset");
         }
         if (m_accepted && last.version < m_accepted->entry.version) {
-            return verdict(FoldVerdict::Refused, "it is older than the bundle in force");
+            return verdict(FoldVerdict::Refused,
+                           "the checkpoint is older than the bundle in force");
         }
         adopt(checkpoint, repeated);
-    } else if (!tellsTheTruth(checkpoint)) {
-        return verdict(FoldVerdict::Refused, "another bundle was accepted at its point");
+    } else if (!matchesHistory(checkpoint)) {
+        return verdict(FoldVerdict::Refused,
+                       "another bundle was accepted at the checkpoint's offset");
     }
-    if (checkpoint.asOf >= m_baseAsOf) {
-        m_baseAsOf = checkpoint.asOf;
-        m_baseAt = repeated.appendedAt;
+    if (checkpoint.asOf >= m_checkpointAsOf) {
+        m_checkpointAsOf = checkpoint.asOf;
+        m_checkpointAt = repeated.appendedAt;
     }
     return verdict(FoldVerdict::Checkpoint, "");
 }
 
-bool BundleFold::tellsTheTruth(const CheckpointPart &checkpoint) const
+bool BundleFold::matchesHistory(const CheckpointPart &checkpoint) const
 {
     const auto inForce =
             std::find_if(m_history.rbegin(), m_history.rend(),
@@ -219,22 +226,24 @@
 
 void BundleFold::replay(LogOffset from)
 {
-    for (const Publication &publication : std::exchange(m_waiting, {})) {
+    for (const Publication &publication : std::exchange(m_undecided, {})) {
         if (publication.offset >= from) {
-            static_cast<void>(judge(publication));
+            static_cast<void>(evaluate(publication));
         }
     }
 }
 
-/// Every node was away for longer than the log keeps records, so that no checkpoint is left and
-/// none will come: nobody could ever publish again. A bundle that says so starts anew. This waits
-/// for the log's end, because a checkpoint further on would say what is accepted.
-void BundleFold::settleOnRestart()
+/// All nodes were down for longer than the log keeps records, so that no checkpoint is left and
+/// none will be written: no publication could ever be accepted again. A bundle with RestartParent
+/// starts a new history. Called only at the end of the log, because a checkpoint further on would
+/// give the accepted bundle.
+void BundleFold::acceptRestart()
 {
-    const auto first = std::find_if(m_waiting.begin(), m_waiting.end(), [](const auto &waiting) {
-        return waiting.header.parent == RestartParent;
-    });
-    if (first != m_waiting.end()) {
+    const auto first =
+            std::find_if(m_undecided.begin(), m_undecided.end(), [](const auto &waiting) {
+                return waiting.header.parent == RestartParent;
+            });
+    if (first != m_undecided.end()) {
         const LogOffset after = first->offset + 1;
         accept(*first);
         m_unbroken = true;
@@ -247,12 +256,12 @@
     if (!m_accepted || !m_unbroken || !m_caughtUp) {
         return std::nullopt;
     }
-    const WallTime baseAt = m_baseAt.value_or(m_history.front().acceptedAt);
-    const bool oldByTime = wallNow - baseAt >= retention / RetentionParts;
+    const WallTime checkpointAt = m_checkpointAt.value_or(m_history.front().acceptedAt);
+    const bool isOldByTime = wallNow - checkpointAt >= retention / RetentionParts;
     const LogOffset kept = m_next - std::min(m_firstKept, m_next);
-    const LogOffset left = m_baseAsOf - std::min(m_firstKept, m_baseAsOf);
-    const bool oldByCount = m_firstKept > 0 && left <= kept / RetentionParts;
-    if (!oldByCount && !oldByTime) {
+    const LogOffset left = m_checkpointAsOf - std::min(m_firstKept, m_checkpointAsOf);
+    const bool isOldByCount = m_firstKept > 0 && left <= kept / RetentionParts;
+    if (!isOldByCount && !isOldByTime) {
         return std::nullopt;
     }
     BundleRecord record;
--- a/src/vanilladyke/policy/bundle_fold_test.cpp
+++ b/src/vanilladyke/policy/bundle_fold_test.cpp
@@ -103,7 +103,7 @@
     return fold.accepted() ? fold.accepted()->entry.digest : "";
 }
 
-TEST(BundleFold, TheFirstOfTwoRacingPublishersWinsAndTheOtherIsTold)
+TEST(BundleFold, TheFirstOfTwoConcurrentPublicationsIsAcceptedAndTheOtherLosesTheRace)
 {
     Log log;
     const std::string first = bundleText(1, "", "ana");
@@ -120,7 +120,7 @@
     EXPECT_EQ(fold.history().size(), 2U);
 }
 
-TEST(BundleFold, CountsEachTrustedSignerOnceAndOnlyWhatTheySigned)
+TEST(BundleFold, CountsEachTrustedSignerOnceAndOnlyForTheSignedText)
 {
     const std::string text = bundleText(1, "", "ana");
     const std::string altered = recordOf(text, {ana, bola});
@@ -137,9 +137,9 @@
     }
 }
 
-// Something else writes into the stream, or a record is damaged. If that stopped the fold, no node
-// could ever take a new bundle again.
-TEST(BundleFold, RefusesGarbageWithAReasonAndGoesOn)
+// Another program writes into the stream, or a record is corrupted. Guards against a fold that
+// stops there, so that no node could accept a new bundle.
+TEST(BundleFold, RefusesMalformedRecordsWithAReasonAndContinues)
 {
     Log log;
     for (const char *garbage : {"", "null", "[]", "{", "{\"nonce\":1}",
@@ -158,10 +158,9 @@
     EXPECT_EQ(versionOf(fold), 1U);
 }
 
-// A node reads the log and computes a checkpoint, is paused, and appends it when a newer bundle has
-// long been accepted. Then the log drops the oldest records, and a node starts. It must not serve
-// on the older bundle.
-TEST(BundleFold, AStaleCheckpointBringsNothingBack)
+// A paused node appends its checkpoint after a newer bundle was accepted, the log drops the oldest
+// records, and another node starts. Guards against the new node accepting the older bundle.
+TEST(BundleFold, AStaleCheckpointDoesNotRestoreAnOlderBundle)
 {
     Log log;
     const std::string first = bundleText(1, "", "ana");
@@ -181,9 +180,9 @@
     EXPECT_EQ(versionOf(startedLater), 0U) << "the only checkpoint left is from before the gap";
 }
 
-// Racing publishers, and the log drops the winner before a node has read it. The loser is still
-// there and looks right to that node; were it taken, two bundles would be in force at once.
-TEST(BundleFold, AfterAGapTheLoserOfARaceIsNotTaken)
+// Of two concurrent publications, the log drops the accepted one before a node has read it. Guards
+// against that node accepting the other one, so that two bundles would be in force at once.
+TEST(BundleFold, AfterAGapThePublicationThatLostARaceIsNotAccepted)
 {
     Log log;
     const std::string first = bundleText(1, "", "ana");
@@ -205,9 +204,9 @@
     EXPECT_EQ(lagging.history(), current.history());
 }
 
-// All nodes were away for longer than the log keeps its records, so the account is lost. Operators
-// must be able to begin again, but only by saying so.
-TEST(BundleFold, AfterTheAccountWasLostOnlyAnExplicitRestartIsTaken)
+// All nodes were down for longer than the log keeps records, so the history is lost. Operators must
+// be able to start a new one, but only explicitly.
+TEST(BundleFold, AfterTheHistoryWasLostOnlyAnExplicitRestartIsAccepted)
 {
     Log log;
     const std::string first = bundleText(1, "", "ana");
@@ -221,7 +220,7 @@
     readAll(started, log);
     readAll(witness, log);
     EXPECT_EQ(versionOf(started), 3U);
-    EXPECT_EQ(versionOf(witness), 1U) << "a node that knows what is accepted takes no restart";
+    EXPECT_EQ(versionOf(witness), 1U) << "a node with an accepted bundle ignores a restart";
 }
 
 TEST(BundleFold, ACheckpointIsDueBeforeTheLogDropsWhatReadersNeed)
@@ -242,10 +241,10 @@
     log.drop(1);
     readAll(fold, log);
     EXPECT_TRUE(fold.checkpointDue(WallTime(minutes(1)), Retention).has_value())
-            << "other records push it out of a log that keeps a number of them";
+            << "a log that keeps a number of records may drop it by count";
 }
 
-/// One step of a random history; the choice is taken modulo what there is to choose from.
+/// One step of a random history; the choice is taken modulo the number of candidates.
 struct Step
 {
     unsigned kind = 0;
@@ -253,13 +252,13 @@
 };
 
 constexpr unsigned StepKinds = 9;
-constexpr std::size_t StepsOfAWorld = 80;
+constexpr std::size_t StepsPerHistory = 80;
 
-/// Publishers, readers and a log that take random steps.
-class World
+/// Publishers, readers and a log that perform random steps.
+class RandomHistory
 {
 public:
-    World()
+    RandomHistory()
         : m_readers(4, BundleFold(bothTrusted()))
         , m_digests(4)
         , m_witness(bothTrusted())
@@ -298,7 +297,7 @@
         check();
     }
 
-    /// Every reader, and one that starts now, catches up after a fresh checkpoint.
+    /// All readers, including a new one, catch up after a fresh checkpoint.
     void finish()
     {
         const auto due = m_witness.checkpointDue(WallTime::max(), Duration(1));
@@ -317,7 +316,7 @@
     }
 
 private:
-    /// A child of the accepted bundle or, as a publisher that is behind would make it, of an older
+    /// Publishes a child of the accepted bundle or, like a publisher that lags behind, of an older
     /// one.
     void publish(unsigned choice)
     {
@@ -346,7 +345,7 @@
         }
     }
 
-    /// Late by any number of steps, and any number of times.
+    /// Appends a checkpoint that may be old and may have been appended before.
     void appendCheckpoint(unsigned choice)
     {
         if (!m_checkpoints.empty()) {
@@ -365,8 +364,8 @@
         static_cast<void>(reader.apply(m_log.read(reader.next(), 1 + choice % 9)));
     }
 
-    /// What a reader accepts was accepted by the witness, who missed nothing, and is never followed
-    /// by something older.
+    /// Every bundle that a reader accepts was accepted by the witness, which reads all records, and
+    /// no reader returns to an older one.
     void check()
     {
         const std::vector<HistoryEntry> &history = m_witness.history();
@@ -390,24 +389,24 @@
 
     Log m_log;
     std::vector<BundleFold> m_readers;
-    std::vector<std::string> m_digests; ///< what each reader last accepted
+    std::vector<std::string> m_digests; ///< the last accepted bundle of each reader
     BundleFold m_witness;
     std::vector<std::string> m_appended;
     std::vector<std::string> m_checkpoints;
 };
 
-RC_GTEST_PROP(BundleFold, EveryReaderAcceptsTheSameBundlesAndNoneGoesBack, ())
+RC_GTEST_PROP(BundleFold, EveryReaderAcceptsTheSameBundlesAndNoneReturnsToAnOlderOne, ())
 {
-    const auto numbers = *rc::gen::container<std::vector<unsigned>>(StepsOfAWorld,
+    const auto numbers = *rc::gen::container<std::vector<unsigned>>(StepsPerHistory,
                                                                     rc::gen::arbitrary<unsigned>());
-    World world;
+    RandomHistory randomHistory;
     for (const unsigned number : numbers) {
-        world.take({number % StepKinds, number / StepKinds});
+        randomHistory.take({number % StepKinds, number / StepKinds});
     }
-    world.finish();
+    randomHistory.finish();
 }
 
-RC_GTEST_PROP(BundleRecord, RandomBytesAreNoRecord, (const std::string &bytes))
+RC_GTEST_PROP(BundleRecord, RandomBytesAreRejected, (const std::string &bytes))
 {
     RC_ASSERT(!parseBundleRecord(bytes).has_value());
     RC_ASSERT(!parseSignedBundle(bytes).has_value());
