--- a/src/vanilladyke/policy/membership.cpp
+++ b/src/vanilladyke/policy/membership.cpp
@@ -7,15 +7,15 @@
 
 namespace {
 
-/// Two probes a period notice a dead node among nine within a second, and keep the cost of a node
-/// far below the 3 KB a second that it may spend on control.
+/// Two probes per period detect a dead node among nine within a second, and keep the cost per node
+/// far below the limit of 3 KB per second for control traffic.
 constexpr int ProbesPerPeriod = 2;
 constexpr int Helpers = 3;
-constexpr std::size_t NewsPerMessage = 6;
+constexpr std::size_t UpdatesPerMessage = 6;
 constexpr std::size_t LeavingPerMessage = 8;
-/// One probe in so many periods goes to an address with no living node behind it.
-constexpr std::uint64_t StrangerEvery = 4;
-/// Remembered so that one piece of news about an engine isn't spread again when it comes back.
+/// Average number of periods between probes to an address without a live node.
+constexpr std::uint64_t InactiveProbePeriods = 4;
+/// Number of leaving engines remembered, so that an update is not gossiped again when received.
 constexpr std::size_t LeavingRemembered = 1024;
 
 bool isDead(const Member &member)
@@ -39,14 +39,14 @@
     , m_timing(timing)
 {
     std::erase(m_seeds, m_self.peers);
-    m_news.add(m_self.node, m_self);
+    m_updates.add(m_self.node, m_self);
 }
 
 std::vector<Outgoing> Membership::tick(TimePoint now, Random &random)
 {
     std::vector<Outgoing> out;
     expire(now);
-    askOthers(out, now, random);
+    probeIndirectly(out, now, random);
     if (now >= m_nextProbe) {
         m_nextProbe = now + m_timing.probeEvery;
         startProbes(out, now, random);
@@ -57,14 +57,14 @@
 std::vector<Outgoing> Membership::receive(const PeerMessage &message, const ReplyRoute &route,
                                           TimePoint now)
 {
-    const bool joins = !m_known.contains(message.from.node);
-    absorb(message.from, now);
+    const bool isNew = !m_known.contains(message.from.node);
+    merge(message.from, now);
     const auto sender = m_known.find(message.from.node);
     if (sender != m_known.end() && sender->second.member.incarnation == message.from.incarnation) {
         sender->second.member.bundleVersion = message.from.bundleVersion;
     }
     for (const Member &member : message.news) {
-        absorb(member, now);
+        merge(member, now);
     }
     for (const EngineId &engine : message.leavingEngines) {
         spreadLeaving(engine);
@@ -72,19 +72,20 @@
     std::vector<Outgoing> out;
     if (const auto *ping = std::get_if<Ping>(&message.body)) {
         PeerMessage answer = compose(Ack{ping->sequence});
-        // A node that just joined knows nobody: it is told of everyone once, not rumour by rumour.
-        if (joins) {
+        // A node that just joined knows no others: it gets all members at once, instead of waiting
+        // for single updates.
+        if (isNew) {
             answer.news = members();
         }
-        tellOfDoubt(answer, message.from.node);
+        appendSuspicion(answer, message.from.node);
         out.push_back({route, std::move(answer)});
     } else if (const auto *request = std::get_if<PingRequest>(&message.body)) {
         const std::uint64_t sequence = m_nextSequence++;
-        m_relays.push_back({sequence, request->sequence, route, now + m_timing.probeEvery});
+        m_indirectProbes.push_back({sequence, request->sequence, route, now + m_timing.probeEvery});
         out.push_back({request->target, compose(Ping{sequence})});
     } else if (const auto *ack = std::get_if<Ack>(&message.body)) {
-        if (auto relayed = acknowledge(*ack)) {
-            out.push_back(std::move(*relayed));
+        if (auto forwarded = acknowledge(*ack)) {
+            out.push_back(std::move(*forwarded));
         }
     }
     return out;
@@ -95,7 +96,7 @@
     if (m_self.phase != phase) {
         m_self.phase = phase;
         ++m_self.revision;
-        m_news.add(m_self.node, m_self);
+        m_updates.add(m_self.node, m_self);
     }
 }
 
@@ -114,15 +115,15 @@
 
 void Membership::spreadLeaving(const EngineId &engine)
 {
-    if (std::find(m_leavingTold.begin(), m_leavingTold.end(), engine) != m_leavingTold.end()) {
+    if (std::find(m_leavingKnown.begin(), m_leavingKnown.end(), engine) != m_leavingKnown.end()) {
         return;
     }
-    if (m_leavingTold.size() >= LeavingRemembered) {
-        m_leavingTold.erase(m_leavingTold.begin());
+    if (m_leavingKnown.size() >= LeavingRemembered) {
+        m_leavingKnown.erase(m_leavingKnown.begin());
     }
-    m_leavingTold.push_back(engine);
-    m_leavingHeard.push_back(engine);
-    m_leaving.add(engine, engine);
+    m_leavingKnown.push_back(engine);
+    m_leavingReceived.push_back(engine);
+    m_leavingUpdates.add(engine, engine);
 }
 
 std::vector<Member> Membership::members() const
@@ -136,15 +137,14 @@
 
 std::size_t Membership::liveCount() const
 {
-    const auto living = std::count_if(m_known.begin(), m_known.end(), [](const auto &entry) {
-        return !isDead(entry.second.member);
-    });
-    return 1 + static_cast<std::size_t>(living);
+    const auto live = std::count_if(m_known.begin(), m_known.end(),
+                                    [](const auto &entry) { return !isDead(entry.second.member); });
+    return 1 + static_cast<std::size_t>(live);
 }
 
 std::vector<EngineId> Membership::takeLeaving()
 {
-    return std::exchange(m_leavingHeard, {});
+    return std::exchange(m_leavingReceived, {});
 }
 
 std::vector<Member> Membership::takeChanges()
@@ -152,44 +152,44 @@
     return std::exchange(m_changes, {});
 }
 
-void Membership::absorb(const Member &news, TimePoint now)
+void Membership::merge(const Member &update, TimePoint now)
 {
-    if (news.node == m_self.node) {
-        defend(news);
+    if (update.node == m_self.node) {
+        refute(update);
         return;
     }
-    const auto found = m_known.find(news.node);
+    const auto found = m_known.find(update.node);
     if (found == m_known.end()) {
-        // A dead node that was never known is of no use, and would never be forgotten: each node
-        // that has forgotten it would hear of it from one that has not.
-        if (!isDead(news)) {
-            change(m_known[news.node], news, now);
+        // An unknown dead node is not added. Otherwise it would never be removed from the fleet:
+        // each node that removed it would receive it again from one that has not.
+        if (!isDead(update)) {
+            change(m_known[update.node], update, now);
         }
-    } else if (isNewer(news, found->second.member)) {
-        change(found->second, news, now);
+    } else if (isNewer(update, found->second.member)) {
+        change(found->second, update, now);
     }
 }
 
-void Membership::defend(const Member &news)
+void Membership::refute(const Member &update)
 {
-    const bool older = news.incarnation < m_self.incarnation;
-    if (older || news.revision < m_self.revision || news.liveness == Liveness::Alive) {
+    const bool isOlder = update.incarnation < m_self.incarnation;
+    if (isOlder || update.revision < m_self.revision || update.liveness == Liveness::Alive) {
         return;
     }
-    // Someone missed an answer of ours and says that we are gone; left alone, the others would take
-    // over our orders and count one node less. A higher revision overrides the rumour everywhere.
-    m_self.revision = news.revision + 1;
-    m_news.add(m_self.node, m_self);
+    // Another node missed an answer and suspects this one. Unrefuted, the others would take over
+    // this node's orders and count one node less. A higher revision overrides the suspicion.
+    m_self.revision = update.revision + 1;
+    m_updates.add(m_self.node, m_self);
 }
 
 void Membership::change(Known &known, const Member &to, TimePoint now)
 {
-    const bool visible = known.member.liveness != to.liveness || known.member.phase != to.phase
-                         || known.member.incarnation != to.incarnation;
+    const bool isVisible = known.member.liveness != to.liveness || known.member.phase != to.phase
+                           || known.member.incarnation != to.incarnation;
     known.member = to;
     known.deadline = now + (isDead(to) ? m_timing.rememberDeadFor : m_timing.suspectFor);
-    m_news.add(to.node, to);
-    if (visible) {
+    m_updates.add(to.node, to);
+    if (isVisible) {
         m_changes.push_back(to);
     }
 }
@@ -208,12 +208,13 @@
 void Membership::expire(TimePoint now)
 {
     for (const Probe &probe : m_probes) {
-        if (probe.giveUpAt <= now && probe.node) {
+        if (probe.timesOutAt <= now && probe.node) {
             suspect(*probe.node, now);
         }
     }
-    std::erase_if(m_probes, [&](const Probe &probe) { return probe.giveUpAt <= now; });
-    std::erase_if(m_relays, [&](const Relay &relay) { return relay.forgetAt <= now; });
+    std::erase_if(m_probes, [&](const Probe &probe) { return probe.timesOutAt <= now; });
+    std::erase_if(m_indirectProbes,
+                  [&](const IndirectProbe &indirect) { return indirect.expiresAt <= now; });
     for (auto &[node, known] : m_known) {
         if (known.member.liveness == Liveness::Suspect && known.deadline <= now) {
             Member dead = known.member;
@@ -229,10 +230,10 @@
 void Membership::startProbes(std::vector<Outgoing> &out, TimePoint now, Random &random)
 {
     const std::size_t alive = liveCount() - 1;
-    const bool alone = alive == 0;
-    if (alone || uniformBelow(random, StrangerEvery) == 0) {
-        if (const std::optional<Endpoint> stranger = nextStranger(random)) {
-            probe(out, *stranger, std::nullopt, now);
+    const bool isAlone = alive == 0;
+    if (isAlone || uniformBelow(random, InactiveProbePeriods) == 0) {
+        if (const std::optional<Endpoint> address = nextInactiveAddress(random)) {
+            probe(out, *address, std::nullopt, now);
         }
     }
     for (std::size_t i = 0; i < std::min<std::size_t>(ProbesPerPeriod, alive); ++i) {
@@ -251,13 +252,13 @@
     out.push_back({target, compose(Ping{sequence})});
 }
 
-void Membership::askOthers(std::vector<Outgoing> &out, TimePoint now, Random &random)
+void Membership::probeIndirectly(std::vector<Outgoing> &out, TimePoint now, Random &random)
 {
     for (Probe &probe : m_probes) {
-        if (probe.askedOthers || !probe.node || probe.askOthersAt > now) {
+        if (probe.hasProbedIndirectly || !probe.node || probe.probeIndirectlyAt > now) {
             continue;
         }
-        probe.askedOthers = true;
+        probe.hasProbedIndirectly = true;
         std::vector<Endpoint> helpers;
         for (const auto &[node, known] : m_known) {
             if (node != *probe.node && known.member.liveness == Liveness::Alive) {
@@ -272,25 +273,25 @@
     }
 }
 
-std::optional<Endpoint> Membership::nextStranger(Random &random)
+std::optional<Endpoint> Membership::nextInactiveAddress(Random &random)
 {
-    std::vector<Endpoint> strangers = m_seeds;
+    std::vector<Endpoint> addresses = m_seeds;
     for (const auto &[node, known] : m_known) {
-        std::erase(strangers, known.member.peers);
+        std::erase(addresses, known.member.peers);
         if (isDead(known.member)) {
-            strangers.push_back(known.member.peers);
+            addresses.push_back(known.member.peers);
         }
     }
-    if (strangers.empty()) {
+    if (addresses.empty()) {
         return std::nullopt;
     }
-    return strangers[uniformBelow(random, strangers.size())];
+    return addresses[uniformBelow(random, addresses.size())];
 }
 
 const Member *Membership::nextMember(Random &random)
 {
-    // Rounds in shuffled order: every member is probed once a round, so that the time until a dead
-    // one is noticed has a bound, which independent draws would not give.
+    // Rounds in shuffled order: every member is probed once per round, which bounds the time until
+    // a dead one is detected. Independent random selection has no such bound.
     for (int round = 0; round < 2; ++round) {
         while (!m_order.empty()) {
             const auto found = m_known.find(m_order.back());
@@ -312,17 +313,17 @@
     const std::uint32_t repeats = rumorRepeats(m_known.size());
     PeerMessage message;
     message.from = m_self;
-    message.news = m_news.take(NewsPerMessage, repeats);
-    message.leavingEngines = m_leaving.take(LeavingPerMessage, repeats);
+    message.news = m_updates.take(UpdatesPerMessage, repeats);
+    message.leavingEngines = m_leavingUpdates.take(LeavingPerMessage, repeats);
     message.load = m_load;
     message.body = std::move(body);
     return message;
 }
 
-void Membership::tellOfDoubt(PeerMessage &message, const NodeId &node) const
+void Membership::appendSuspicion(PeerMessage &message, const NodeId &node) const
 {
-    // The rumour of its death may long have stopped spreading when a node that was cut off is back.
-    // Unless it hears of it, it has no cause to object, and stays dead to the others for good.
+    // When a disconnected node returns, the update that declared it dead may no longer be gossiped.
+    // Unless the node receives it, it does not refute it, and stays dead to the others permanently.
     const auto found = m_known.find(node);
     if (found != m_known.end() && found->second.member.liveness != Liveness::Alive) {
         message.news.push_back(found->second.member);
@@ -331,12 +332,12 @@
 
 std::optional<Outgoing> Membership::acknowledge(const Ack &ack)
 {
-    const auto relay = std::find_if(m_relays.begin(), m_relays.end(), [&](const Relay &each) {
-        return each.sequence == ack.sequence;
-    });
-    if (relay != m_relays.end()) {
-        Outgoing answer{relay->theirRoute, compose(Ack{relay->theirSequence})};
-        m_relays.erase(relay);
+    const auto indirect =
+            std::find_if(m_indirectProbes.begin(), m_indirectProbes.end(),
+                         [&](const IndirectProbe &each) { return each.sequence == ack.sequence; });
+    if (indirect != m_indirectProbes.end()) {
+        Outgoing answer{indirect->requesterRoute, compose(Ack{indirect->requesterSequence})};
+        m_indirectProbes.erase(indirect);
         return answer;
     }
     std::erase_if(m_probes, [&](const Probe &probe) { return probe.sequence == ack.sequence; });
--- a/src/vanilladyke/policy/membership_test.cpp
+++ b/src/vanilladyke/policy/membership_test.cpp
@@ -12,7 +12,7 @@
 
 using std::chrono::milliseconds;
 
-/// Nodes in one process that hand their messages to each other, with links that can be cut.
+/// Nodes in one process that exchange messages directly, over links that can be cut.
 class FakeFleet
 {
 public:
@@ -90,7 +90,7 @@
     return Liveness::Dead;
 }
 
-TEST(Membership, NodesThatKnowOneSeedComeToKnowAll)
+TEST(Membership, NodesWithOneSeedDiscoverAllNodes)
 {
     FakeFleet fleet(9);
     fleet.run(std::chrono::seconds(5));
@@ -99,9 +99,9 @@
     }
 }
 
-// A host dies without a word. If the others went on counting it, each would leave it a share of
-// every engine that nobody uses, and callers would be refused while engines idle.
-TEST(Membership, ADeadNodeIsNoticedByAll)
+// A host crashes. Guards against nodes that still count it: each would leave it an unused share of
+// every engine, and callers would be refused while engines are idle.
+TEST(Membership, ADeadNodeIsDetectedByAll)
 {
     FakeFleet fleet(9);
     fleet.run(std::chrono::seconds(5));
@@ -113,9 +113,9 @@
     }
 }
 
-// One link between two nodes fails while all others work. Both still serve callers, so neither may
-// be given up: others answer for them.
-TEST(Membership, ABrokenLinkBetweenTwoNodesKillsNeither)
+// One link between two nodes fails while all others work. Guards against either of them being
+// declared dead: both still serve callers, and indirect probes reach them.
+TEST(Membership, ABrokenLinkBetweenTwoNodesMakesNeitherDead)
 {
     FakeFleet fleet(5);
     fleet.run(std::chrono::seconds(5));
@@ -126,9 +126,10 @@
     }
 }
 
-// Two regions lose each other for minutes, and each takes the other's nodes for dead. Were the dead
-// never asked again, the fleet would stay two halves after the network is back.
-TEST(Membership, PartedRegionsJoinAgain)
+// A network partition separates two regions for minutes, and each declares the other's nodes dead.
+// Guards against a fleet that stays split after the network recovers since dead nodes aren't
+// probed.
+TEST(Membership, RegionsJoinAgainAfterAPartition)
 {
     FakeFleet fleet(8);
     fleet.run(std::chrono::seconds(5));
@@ -142,9 +143,9 @@
     }
 }
 
-// A process is frozen for a while and wakes. The others have given it up; it is well again and its
-// callers come back, so it must be counted again although its incarnation is the same.
-TEST(Membership, AWokenNodeTakesBackTheRumourOfItsDeath)
+// A process is suspended, declared dead by the others, and resumed. Guards against a node that
+// stays dead to the others because its incarnation is the same, although it serves callers again.
+TEST(Membership, AResumedNodeRefutesThatItIsDead)
 {
     FakeFleet fleet(4);
     fleet.run(std::chrono::seconds(5));
@@ -156,9 +157,9 @@
     EXPECT_EQ(livenessOf(fleet[0], "n2"), Liveness::Alive);
 }
 
-// A node is replaced under the same name. News of its former life is still about; taken for the new
-// one, it would turn a ready node into a dead one.
-TEST(Membership, ANewLifeOverridesNewsOfTheFormerOne)
+// A node is replaced under the same name while updates on its earlier incarnation are still being
+// gossiped. Guards against such an update that makes the new, ready node dead.
+TEST(Membership, ANewIncarnationOverridesUpdatesOnTheFormerOne)
 {
     FakeFleet fleet(4);
     fleet.run(std::chrono::seconds(5));
@@ -171,7 +172,7 @@
     }
 }
 
-TEST(Membership, NewsOfALeavingEngineReachesAllOnce)
+TEST(Membership, AnUpdateOnALeavingEngineReachesAllOnce)
 {
     FakeFleet fleet(9);
     fleet.run(std::chrono::seconds(5));
