--- a/include/vanilladyke/policy/peer_message.hpp
+++ b/include/vanilladyke/policy/peer_message.hpp
@@ -8,71 +8,71 @@
 #include <variant>
 #include <vector>
 
-/// What nodes say to each other, as values; the peers layer writes them as protobuf.
+/// Messages between nodes, as values; the peers layer encodes them as protobuf.
 namespace vanilladyke {
 
-/// @brief "Are you there?"
+/// @brief Probe of the receiver.
 struct Ping
 {
     std::uint64_t sequence = 0;
 };
 
-/// @brief "I am", or "the one you asked about is".
+/// @brief Answer to a Ping, or to a PingRequest whose target answered.
 struct Ack
 {
     std::uint64_t sequence = 0;
 };
 
-/// @brief "I can't reach this node; can you?"
+/// @brief Requests an indirect probe of a node that does not answer the sender.
 struct PingRequest
 {
     std::uint64_t sequence = 0;
     Endpoint target;
 };
 
-/// @brief Parts of a node's state that a starting node takes over.
+/// @brief Parts of a node's state that a starting node copies from a peer.
 ///
-/// Claims are none of them: a node may only let one through once it has read the log up to the
-/// claim itself, and on the way it reads the whole window; a peer's copy would save nothing.
+/// Claims are not included: a node may only admit a claim once it has read the log up to that claim
+/// itself, and thereby reads the whole window. A peer's copy would save nothing.
 enum class SnapshotSection { Bundle, CacheView };
 
-/// @brief Asks for one bounded piece of a section.
+/// @brief Requests one piece, of bounded size, of a section.
 struct SnapshotRequest
 {
     SnapshotSection section = SnapshotSection::Bundle;
-    std::uint64_t cursor = 0; ///< 0 for the first piece, then as the last piece said
+    std::uint64_t cursor = 0; ///< 0 for the first piece, then nextCursor of the last piece
 };
 
-/// @brief One piece of a section; its items are in the section's own form.
+/// @brief One piece of a section; its items are encoded as the section defines.
 struct SnapshotPiece
 {
     SnapshotSection section = SnapshotSection::Bundle;
-    std::uint64_t cursor = 0;     ///< that was asked for
-    std::uint64_t nextCursor = 0; ///< 0 when there is no more
+    std::uint64_t cursor = 0;     ///< of the request
+    std::uint64_t nextCursor = 0; ///< 0 after the last piece
     std::vector<std::string> items;
 };
 
-/// @brief One message. Every message carries its sender and some news of others.
+/// @brief One message. Every message carries the sender's state and updates on other nodes.
 struct PeerMessage
 {
     Member from;
     std::vector<Member> news;
-    std::vector<EngineId> leavingEngines; ///< engines that are to get no new work
+    std::vector<EngineId> leavingEngines; ///< engines that must get no new requests
     std::variant<Ping, Ack, PingRequest, SnapshotRequest, SnapshotPiece> body;
-    NodeLoad load = {}; ///< at the sender
+    NodeLoad load = {}; ///< of the sender
 };
 
-/// @brief The way back to whoever sent a message; only valid on the transport that gave it.
+/// @brief The return route to the sender of a message; valid only on the transport that issued it.
 struct ReplyRoute
 {
     std::string identity;
     auto operator<=>(const ReplyRoute &) const = default;
 };
 
-/// @brief Where a message goes.
+/// @brief The destination of a message.
 using Destination = std::variant<Endpoint, ReplyRoute>;
 
-/// @brief A message to be sent.
+/// @brief A message to send.
 struct Outgoing
 {
     Destination to;
