--- a/include/vanilladyke/policy/news_routes.hpp
+++ b/include/vanilladyke/policy/news_routes.hpp
@@ -7,30 +7,33 @@
 #include <map>
 #include <vector>
 
-/// To whom a node sends its news so that every other node gets them.
+/// Selects the recipients of a node's updates so that every other node receives them.
 ///
-/// Load pattern: hundreds of nodes in five data centres tell each other of their load. Four fifths
-/// of what each sends goes to other data centres, where bytes are dear, the same datagram sixty
-/// times. Sent once to one node of each, which passes it on to those beside it, it crosses once.
-/// The node that passes it on is drawn anew each time among those that were heard of lately: one
-/// that is gone or cut off loses one telling, and the next goes another way.
+/// Load pattern: hundreds of nodes in five data centres send each other load updates. Four fifths
+/// of the traffic would go to other data centres, where bandwidth is expensive, with the same
+/// datagram sent sixty times. Instead it is sent once to one node of each data centre, which
+/// forwards it to the others in the same data centre. The forwarder is drawn at random for each
+/// update from the nodes seen recently: if it is down or unreachable, only one update is lost, and
+/// the next one goes through another node.
 namespace vanilladyke {
 
-/// @brief One node's view. Pure.
-/// @tparam Address of a node; has an order
+/// @brief The update routes of one node. Pure: performs no I/O.
+/// @tparam Address of a node; must be ordered
 template <typename Address>
 class NewsRoutes
 {
 public:
-    /// With fewer nodes in a data centre each is told directly: a detour would save too little.
+    /// With fewer nodes in a data centre each is sent updates directly: forwarding would save too
+    /// little.
     static constexpr std::size_t LeastPassedOn = 5;
+    /// A node that was not seen for longer is not selected to forward updates.
     static constexpr Duration HeardLife = std::chrono::seconds(8);
 
-    /// @brief Who gets a telling.
+    /// @brief The recipients of one update.
     struct Recipients
     {
         std::vector<Address> direct;
-        std::vector<Address> passOn; ///< these tell all nodes of their data centre
+        std::vector<Address> passOn; ///< nodes that forward it in their data centre
     };
 
     /// @param dataCentre hash of its name
@@ -38,7 +41,7 @@
         : m_dataCentre(dataCentre)
     {}
 
-    /// @brief The nodes that there may be; what was heard of those that stay is kept.
+    /// @brief Replaces the list of nodes; the state of those that remain is kept.
     void setNodes(const std::vector<Address> &nodes)
     {
         std::map<Address, Node> next;
@@ -48,7 +51,8 @@
         }
         m_nodes = std::move(next);
     }
-    /// @return whether the node was not known
+    /// @brief Records that a message of the node was received.
+    /// @return whether the node is new
     bool heard(const Address &node, std::uint64_t dataCentre, TimePoint now)
     {
         const auto [known, isNew] = m_nodes.try_emplace(node);
@@ -58,6 +62,7 @@
     }
     [[nodiscard]] std::size_t size() const { return m_nodes.size(); }
 
+    /// @brief The recipients of the next update.
     [[nodiscard]] Recipients recipients(Random &random, TimePoint now) const
     {
         Recipients result;
@@ -81,7 +86,7 @@
         }
         return result;
     }
-    /// @brief Nodes of this data centre, to which news of others are passed on.
+    /// @brief The other nodes in this data centre, to which updates are forwarded.
     [[nodiscard]] std::vector<Address> beside() const
     {
         std::vector<Address> result;
--- a/src/vanilladyke/policy/news_routes_test.cpp
+++ b/src/vanilladyke/policy/news_routes_test.cpp
@@ -21,7 +21,7 @@
     return static_cast<std::uint64_t>(1 + node % Centres);
 }
 
-/// What a node knows that heard of all nodes of a fleet.
+/// The routes of a node that has received a message from every node of the fleet.
 Routes routesOf(int node, int nodes, TimePoint now)
 {
     Routes routes(centreOf(node));
@@ -33,7 +33,7 @@
     return routes;
 }
 
-/// All that hear of one telling of the node, directly or from one that passes it on.
+/// All nodes that receive one update of the node, directly or through a forwarder.
 std::set<int> reached(int node, int nodes, TimePoint now)
 {
     Random random(7);
@@ -48,15 +48,15 @@
     return all;
 }
 
-TEST(NewsRoutes, EveryNodeHearsOfEachTelling)
+TEST(NewsRoutes, EveryNodeReceivesEachUpdate)
 {
     for (const int nodes : {6, 9, 24, 30, 100, 295}) {
         EXPECT_EQ(reached(3, nodes, at(0)).size(), static_cast<std::size_t>(nodes) - 1) << nodes;
     }
 }
 
-// Bytes between data centres are dear; what a node sends there must not grow with their nodes.
-TEST(NewsRoutes, ATellingCrossesToEachDataCentreOnce)
+// Guards against traffic between data centres that grows with the number of nodes in them.
+TEST(NewsRoutes, AnUpdateIsSentToEachDataCentreOnce)
 {
     Random random(7);
     const auto sent = routesOf(3, 295, at(0)).recipients(random, at(0));
@@ -66,7 +66,7 @@
     }
 }
 
-TEST(NewsRoutes, NodesThatWereNeverHeardOfAreToldDirectly)
+TEST(NewsRoutes, NodesThatWereNeverSeenAreSentUpdatesDirectly)
 {
     Routes routes(1);
     routes.setNodes({1, 2, 3});
@@ -74,9 +74,9 @@
     EXPECT_EQ(routes.recipients(random, at(0)).direct.size(), 3U);
 }
 
-// A third of the nodes of a data centre is cut off. What is sent by way of them is lost, and the
-// nodes beside them would hear of a third of all tellings no more.
-TEST(NewsRoutes, ThoseThatFellSilentPassNothingOn)
+// A third of the nodes of a data centre is unreachable. Guards against updates that are sent
+// through them: the other nodes in that data centre would miss a third of all updates.
+TEST(NewsRoutes, UnresponsiveNodesAreNotSelectedToForward)
 {
     Routes routes = routesOf(0, 100, at(0));
     for (int other = 1; other < 100; ++other) {
@@ -92,7 +92,7 @@
     }
 }
 
-TEST(NewsRoutes, TheWayIsDrawnAnew)
+TEST(NewsRoutes, TheForwarderIsDrawnAnewForEachUpdate)
 {
     const Routes routes = routesOf(0, 100, at(0));
     Random random(7);
