--- a/include/vanilladyke/policy/reading_turn.hpp
+++ b/include/vanilladyke/policy/reading_turn.hpp
@@ -6,45 +6,52 @@
 #include <optional>
 #include <unordered_map>
 
-/// Which node reads the platform's store for others.
+/// Selects the node that reads the platform's store on behalf of others.
 ///
-/// Load pattern: nodes come, fail and freeze all day, and none of them may stand for another one
-/// that it believes to be there. All compute the same order of the nodes that they heard of lately;
-/// the first one reads. One that asks it and hears nothing reads for itself and asks the next one
-/// for a while. Where nodes disagree, two read, which costs calls and nothing else.
+/// Load pattern: nodes join, fail and hang at any time, so no node may depend on another one that
+/// may be down. All nodes compute the same order of the nodes seen recently, and the first one
+/// reads the store. A node that gets no answer from it reads the store itself, and asks the next
+/// node during a back-off. If the views of nodes differ, two nodes read, which only costs calls.
 ///
-/// A small fleet has one reader. In a larger one the nodes of each data centre share one, so that
-/// nobody is asked by hundreds; where a data centre has too few nodes for that, they ask the first
-/// one of the whole fleet. With four nodes in each of five data centres, twenty nodes would
-/// otherwise make the calls of five readers or more.
+/// A small fleet has one reader. In a larger one the nodes of each data centre share a reader, so
+/// that no reader serves hundreds of nodes. If a data centre has too few nodes, they ask the reader
+/// of the whole fleet: with four nodes in each of five data centres, twenty nodes would otherwise
+/// make the calls of five readers or more.
 namespace vanilladyke {
 
-/// @brief One node's view. Pure. Nodes and data centres are named by hashes.
+/// @brief The reader selection of one node. Pure: performs no I/O. Nodes and data centres are
+/// identified by hashes of their names.
 class ReadingTurn
 {
 public:
-    /// Fewer nodes read each for itself: it would save too few calls, and each hears of a change
-    /// sooner from the store than from another node.
+    /// With fewer nodes each reads the store itself: sharing would save too few calls, and changes
+    /// arrive sooner from the store than from another node.
     static constexpr std::size_t LeastNodes = 10;
-    /// So many nodes ask one: what it answers takes little of a small host.
+    /// Largest fleet with a single reader; answering so many nodes takes little of a small host.
     static constexpr std::size_t MostTogether = 32;
+    /// A node that was not seen for longer is not selected.
     static constexpr Duration HeardLife = std::chrono::seconds(8);
     static constexpr Duration FirstDoubt = std::chrono::seconds(2);
     static constexpr Duration LongestDoubt = std::chrono::seconds(16);
 
     ReadingTurn(std::uint64_t self, std::uint64_t dataCentre);
 
+    /// @brief Records that a message of the node was received.
+    /// @param endpoint where the node answers queries
     void heard(std::uint64_t node, std::uint64_t dataCentre, const Endpoint &endpoint,
                TimePoint now);
-    /// @brief This node's place among all nodes that live; the first has 0.
+    /// @brief This node's position among all live nodes, from 0.
     [[nodiscard]] std::size_t rank(TimePoint now) const;
-    /// @brief The node to ask; none: this node reads for itself.
+    /// @brief The node to ask; none if this node reads the store itself.
     [[nodiscard]] std::optional<std::uint64_t> whomToAsk(TimePoint now) const;
+    /// @return an empty endpoint if the node is unknown
     [[nodiscard]] Endpoint endpointOf(std::uint64_t node) const;
+    /// @brief Resets the node's back-off after an answer.
     void answered(std::uint64_t node);
-    /// @brief It did not answer in time, or knew too little.
+    /// @brief Starts or doubles the node's back-off: it did not answer in time, or its data was too
+    /// old.
     void doubt(std::uint64_t node, TimePoint now);
-    /// @brief Nodes that were heard of, without this one.
+    /// @brief Number of nodes seen recently, without this one.
     [[nodiscard]] std::size_t size() const { return m_nodes.size(); }
 
 private:
@@ -52,23 +59,23 @@
     {
         std::uint64_t dataCentre = 0;
         Endpoint endpoint;
-        TimePoint heardAt;
-        TimePoint doubtedUntil = TimePoint::min();
-        Duration doubt{};
+        TimePoint lastSeenAt;
+        TimePoint backOffUntil = TimePoint::min();
+        Duration backOffSpan{};
     };
 
-    /// @param group data centre, or none for the whole fleet
-    [[nodiscard]] static std::uint64_t orderOf(std::uint64_t node,
-                                               std::optional<std::uint64_t> group);
+    /// @param group the data centre, or none for the whole fleet
+    [[nodiscard]] static std::uint64_t rankingHash(std::uint64_t node,
+                                                   std::optional<std::uint64_t> group);
     [[nodiscard]] static bool isLive(const Node &node, TimePoint now);
-    /// @return data centre, or none for the whole fleet
+    /// @return the data centre that shares a reader, or none for the whole fleet
     [[nodiscard]] std::optional<std::uint64_t> groupAt(TimePoint now) const;
-    void forgetSilent(TimePoint now);
+    void removeUnresponsive(TimePoint now);
 
     std::uint64_t m_self;
     std::uint64_t m_dataCentre;
     std::unordered_map<std::uint64_t, Node> m_nodes;
-    TimePoint m_forgotAt = TimePoint::min();
+    TimePoint m_cleanedUpAt = TimePoint::min();
 };
 
 } // namespace vanilladyke
--- a/include/vanilladyke/policy/record_relay.hpp
+++ b/include/vanilladyke/policy/record_relay.hpp
@@ -8,18 +8,19 @@
 #include <string>
 #include <vector>
 
-/// What a node that follows a topic of the platform's store hands on to nodes that ask it.
+/// Buffers the changes in a topic of the platform's store for nodes that query this node instead.
 ///
 /// Load pattern: 72 nodes that each read every heartbeat of 78 servers make ten thousand calls in
-/// half a minute, and at 300 nodes and 3,000 servers decoding them takes most of a node. Nearly all
-/// that they read changes nothing. A node that hands on what it read leaves the rest out.
+/// half a minute, and at 300 nodes and 3,000 servers decoding them takes most of a node's processor
+/// time. Nearly all of these records change nothing; the relay returns only those that do.
 namespace vanilladyke {
 
-/// @brief The relay of one topic. Pure. Times are on a clock that counts suspension.
+/// @brief The relay of one topic. Pure: performs no I/O. Times are on a clock that counts
+/// suspension.
 class RecordRelay
 {
 public:
-    /// A node that asks is at most this many changes behind, or reads for itself.
+    /// Capacity. A node that is more changes behind has to read the store itself.
     static constexpr std::size_t MostChanges = 2048;
 
     /// @brief A record and its offset in the topic.
@@ -27,35 +28,37 @@
     {
         std::uint64_t offset = 0;
         std::string record;
-        std::string key; ///< empty: not known
+        std::string key; ///< empty if unknown
     };
-    /// @brief What one that knows all before an offset has to learn.
+    /// @brief The changes since an offset.
     struct News
     {
-        std::uint64_t next = 0; ///< all before this offset is known with these changes
-        Duration age{};         ///< of the proof that nothing follows
+        std::uint64_t next = 0; ///< with these changes, all before this offset is covered
+        Duration age{};         ///< of the freshness proof: no later records existed then
         std::vector<Change> changes;
     };
 
-    /// @brief The topic was listed: what came before @p next is not known one by one.
+    /// @brief The topic was listed: the single changes before @p next are unknown.
     void restart(std::uint64_t next);
-    /// @brief The topic was listed, and nobody needs to learn of keys that were removed: the newest
-    /// record of each key, which follow by changed(), are all that there is to know.
+    /// @brief The topic was listed, and removals of keys are irrelevant to the readers: the newest
+    /// record of each key, passed to changed() after this call, is the complete state.
     void restartWithAll(std::uint64_t next);
-    /// @brief A record that changed what was known before it.
-    /// @param key whose older record it replaces; empty: it replaces none
+    /// @brief Adds a record that changed the state of the topic.
+    /// @param key the record replaces an older one with this key; empty: it replaces none
     void changed(std::uint64_t offset, std::string record, const std::string &key = {});
-    /// @brief All before @p next was read.
+    /// @brief Records that all before @p next was read.
     void readUpTo(std::uint64_t next) { m_next = next; }
-    /// @brief Nothing but what was read had been written at that time.
+    /// @brief Adds a freshness proof: at that time no later records than those read existed.
     void proved(TimePoint at);
-    /// @return none if this node can't tell: it knows too little, or it is more than @p mostBytes
+    /// @brief The changes from an offset on.
+    /// @return none if the buffered changes don't reach back to @p offset, there is no freshness
+    /// proof, or the changes exceed @p mostBytes
     [[nodiscard]] std::optional<News> since(std::uint64_t offset, std::size_t mostBytes,
                                             TimePoint now) const;
 
 private:
     std::deque<Change> m_changes;
-    std::uint64_t m_first = 0; ///< from here on all changes are known one by one
+    std::uint64_t m_first = 0; ///< from here on, all single changes are known
     std::uint64_t m_next = 0;
     std::optional<TimePoint> m_provedAt;
 };
--- a/src/vanilladyke/policy/reading_turn.cpp
+++ b/src/vanilladyke/policy/reading_turn.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// Looking through hundreds of nodes whenever one of them is heard of would be a cost of its own.
-constexpr Duration ForgetEvery = std::chrono::seconds(1);
+/// Iterating over hundreds of nodes for each received message would be too expensive.
+constexpr Duration CleanupInterval = std::chrono::seconds(1);
 
 } // namespace
 
@@ -18,17 +18,17 @@
     , m_dataCentre(dataCentre)
 {}
 
-std::uint64_t ReadingTurn::orderOf(std::uint64_t node, std::optional<std::uint64_t> group)
+std::uint64_t ReadingTurn::rankingHash(std::uint64_t node, std::optional<std::uint64_t> group)
 {
     return mixBits(group.value_or(0) ^ mixBits(node));
 }
 
-void ReadingTurn::forgetSilent(TimePoint now)
+void ReadingTurn::removeUnresponsive(TimePoint now)
 {
-    if (m_forgotAt != TimePoint::min() && now - m_forgotAt < ForgetEvery) {
+    if (m_cleanedUpAt != TimePoint::min() && now - m_cleanedUpAt < CleanupInterval) {
         return;
     }
-    m_forgotAt = now;
+    m_cleanedUpAt = now;
     std::erase_if(m_nodes, [now](const auto &item) { return !isLive(item.second, now); });
 }
 
@@ -41,24 +41,24 @@
     Node &known = m_nodes[node];
     known.dataCentre = dataCentre;
     known.endpoint = endpoint;
-    known.heardAt = now;
-    forgetSilent(now);
+    known.lastSeenAt = now;
+    removeUnresponsive(now);
 }
 
 bool ReadingTurn::isLive(const Node &node, TimePoint now)
 {
-    return now - node.heardAt <= HeardLife;
+    return now - node.lastSeenAt <= HeardLife;
 }
 
 std::optional<std::uint64_t> ReadingTurn::groupAt(TimePoint now) const
 {
     std::size_t live = 1;
-    std::size_t beside = 1;
+    std::size_t inSameDataCentre = 1;
     for (const auto &[node, known] : m_nodes) {
         live += isLive(known, now) ? 1 : 0;
-        beside += isLive(known, now) && known.dataCentre == m_dataCentre ? 1 : 0;
+        inSameDataCentre += isLive(known, now) && known.dataCentre == m_dataCentre ? 1 : 0;
     }
-    const bool isSmall = live <= MostTogether || beside < LeastNodes;
+    const bool isSmall = live <= MostTogether || inSameDataCentre < LeastNodes;
     return isSmall ? std::nullopt : std::optional(m_dataCentre);
 }
 
@@ -66,15 +66,15 @@
 {
     const std::optional<std::uint64_t> group = groupAt(now);
     std::optional<std::uint64_t> first;
-    std::uint64_t best = orderOf(m_self, group);
+    std::uint64_t best = rankingHash(m_self, group);
     std::size_t live = 1;
     for (const auto &[node, known] : m_nodes) {
         if (!isLive(known, now) || (group && known.dataCentre != *group)) {
             continue;
         }
         ++live;
-        if (now >= known.doubtedUntil && orderOf(node, group) > best) {
-            best = orderOf(node, group);
+        if (now >= known.backOffUntil && rankingHash(node, group) > best) {
+            best = rankingHash(node, group);
             first = node;
         }
     }
@@ -99,7 +99,7 @@
 {
     const auto known = m_nodes.find(node);
     if (known != m_nodes.end()) {
-        known->second.doubt = Duration::zero();
+        known->second.backOffSpan = Duration::zero();
     }
 }
 
@@ -107,9 +107,9 @@
 {
     const auto known = m_nodes.find(node);
     if (known != m_nodes.end()) {
-        Duration &span = known->second.doubt;
+        Duration &span = known->second.backOffSpan;
         span = std::clamp<Duration>(2 * span, FirstDoubt, LongestDoubt);
-        known->second.doubtedUntil = now + span;
+        known->second.backOffUntil = now + span;
     }
 }
 
--- a/src/vanilladyke/policy/record_relay.cpp
+++ b/src/vanilladyke/policy/record_relay.cpp
@@ -19,7 +19,8 @@
 
 void RecordRelay::changed(std::uint64_t offset, std::string record, const std::string &key)
 {
-    // Several changes of a key within a moment must not be too much for a datagram.
+    // Only the newest record of a key is kept, so that several changes of a key in quick succession
+    // still fit into a datagram.
     std::erase_if(m_changes, [&](const Change &each) { return !key.empty() && each.key == key; });
     const auto place = std::upper_bound(
             m_changes.begin(), m_changes.end(), offset,
