--- a/src/vanilladyke/policy/orders.cpp
+++ b/src/vanilladyke/policy/orders.cpp
@@ -30,7 +30,8 @@
     return engine.reachable && !engine.leaving;
 }
 
-/// Counts the engines that serve each model, to check which engine can be selected out of service.
+/// Counts the engines that serve each model, to check which engine can be taken out of
+/// service.
 class ServingCount
 {
 public:
