--- a/include/vanilladyke/policy/backend_book.hpp
+++ b/include/vanilladyke/policy/backend_book.hpp
@@ -7,7 +7,7 @@
 #include "vanilladyke/policy/fetch_share.hpp"
 #include "vanilladyke/policy/part_holders.hpp"
 #include "vanilladyke/policy/route_table.hpp"
-#include "vanilladyke/policy/weights_dates.hpp"
+#include "vanilladyke/policy/weights_announcements.hpp"
 
 #include <deque>
 #include <unordered_map>
@@ -44,7 +44,7 @@
 struct NamedWeights
 {
     ModelId model;
-    WeightsDate date;
+    WeightsAnnouncement date;
 };
 
 /// @brief What one node knows of the backend servers from its own traffic. Pure.
@@ -214,7 +214,7 @@
     };
 
     /// @param more how many servers are weighed beside those that always are
-    [[nodiscard]] Weighed weigh(const BackendQuery &query, const WeightsDates *dates,
+    [[nodiscard]] Weighed weigh(const BackendQuery &query, const WeightsAnnouncements *dates,
                                 std::size_t more, TimePoint now, NoBackend *none) const;
     /// @return 0 if none were named
     [[nodiscard]] std::uint64_t newestWeights(const ModelId &model) const;
@@ -231,11 +231,11 @@
     /// A request at the server has begun, or will not.
     static void waitsNoMore(State &state, const BackendChoice &choice);
     [[nodiscard]] Millis chargesOf(const State &state, const BackendQuery &query,
-                                   const WeightsDates *dates, TimePoint now) const;
+                                   const WeightsAnnouncements *dates, TimePoint now) const;
     [[nodiscard]] static Millis readTime(const State &state, double tokens, TimePoint now);
     [[nodiscard]] bool isSilent(const State &state, TimePoint now) const;
     [[nodiscard]] bool mayBegin(const State &state, const BackendQuery &query,
-                                const WeightsDates *dates, TimePoint now) const;
+                                const WeightsAnnouncements *dates, TimePoint now) const;
     /// A number in [0, 1) that differs between requests for the same part.
     [[nodiscard]] static double drawFor(std::uint64_t part, TimePoint now);
     [[nodiscard]] Reading readingAt(const State &engine, const State &home,
@@ -263,7 +263,7 @@
     /// Servers of each service in this node's own order. They stand in m_states.
     std::unordered_map<ServiceId, std::vector<const State *>> m_byService;
     std::unordered_map<std::uint64_t, State *> m_byHash;
-    std::unordered_map<ModelId, WeightsDates> m_weightsDates;
+    std::unordered_map<ModelId, WeightsAnnouncements> m_weightsDates;
     std::unordered_map<std::uint64_t, Peer> m_peers;
     PartHolders m_holders;
     FetchShare m_fetches;
--- a/include/vanilladyke/policy/weights_dates.hpp
+++ b/include/vanilladyke/policy/weights_announcements.hpp
@@ -20,13 +20,13 @@
 namespace vanilladyke {
 
 /// @brief Bounds on the time at which a version of the weights was announced.
-struct WeightsDate
+struct WeightsAnnouncement
 {
     std::uint64_t version = 0;
     TimePoint namedAfter; ///< last read of the records that did not contain them
     TimePoint knownAt;    ///< earliest known receipt by any node
 
-    bool operator==(const WeightsDate &) const = default;
+    bool operator==(const WeightsAnnouncement &) const = default;
 };
 
 /// @brief Where the lower bound comes from, the least reliable source first.
@@ -38,13 +38,13 @@
 
 /// @brief The announcements of one model's weights that still affect a deadline. Pure: performs no
 /// I/O.
-class WeightsDates
+class WeightsAnnouncements
 {
 public:
     /// @brief Adds an announcement or improves the bounds of a known one.
     /// @param allowed time from the announcement in which requests may start on older weights
     /// @return whether anything changed
-    bool add(const WeightsDate &date, DateGrounds grounds, TimePoint now, Duration allowed);
+    bool add(const WeightsAnnouncement &date, DateGrounds grounds, TimePoint now, Duration allowed);
     /// @brief The deadline for starting requests on this version.
     /// @return none if no newer version was announced
     [[nodiscard]] std::optional<TimePoint> endOf(std::uint64_t version, Duration allowed) const;
@@ -53,19 +53,20 @@
     /// @return the newest announced version; 0 if there is none
     [[nodiscard]] std::uint64_t newest() const;
     /// @brief The bounds to send to other nodes; excludes estimates.
-    [[nodiscard]] std::vector<WeightsDate> toTell() const;
+    [[nodiscard]] std::vector<WeightsAnnouncement> toTell() const;
 
 private:
     struct Entry
     {
-        WeightsDate date;
+        WeightsAnnouncement date;
         DateGrounds grounds = DateGrounds::Guess;
     };
 
     using Entries = std::vector<Entry>;
 
     [[nodiscard]] Entries::iterator lowerBound(std::uint64_t version);
-    [[nodiscard]] static bool improve(Entry *entry, const WeightsDate &date, DateGrounds grounds);
+    [[nodiscard]] static bool improve(Entry *entry, const WeightsAnnouncement &date,
+                                      DateGrounds grounds);
     /// Removes versions older than one whose own deadline has passed: they affect no deadline.
     void removeObsolete(TimePoint now, Duration allowed);
 
--- a/src/vanilladyke/policy/backend_book.cpp
+++ b/src/vanilladyke/policy/backend_book.cpp
@@ -203,7 +203,7 @@
 {
     std::vector<NamedWeights> result;
     for (const auto &[model, dates] : m_weightsDates) {
-        for (const WeightsDate &date : dates.toTell()) {
+        for (const WeightsAnnouncement &date : dates.toTell()) {
             result.push_back({model, date});
         }
     }
--- a/src/vanilladyke/policy/backend_choice.cpp
+++ b/src/vanilladyke/policy/backend_choice.cpp
@@ -45,8 +45,8 @@
     return dates->second.endOf(weightsOf(state->second, model), m_rates.weightsTime);
 }
 
-bool BackendBook::mayBegin(const State &state, const BackendQuery &query, const WeightsDates *dates,
-                           TimePoint now) const
+bool BackendBook::mayBegin(const State &state, const BackendQuery &query,
+                           const WeightsAnnouncements *dates, TimePoint now) const
 {
     if (dates == nullptr) {
         return true;
@@ -94,7 +94,7 @@
 }
 
 Millis BackendBook::chargesOf(const State &state, const BackendQuery &query,
-                              const WeightsDates *dates, TimePoint now) const
+                              const WeightsAnnouncements *dates, TimePoint now) const
 {
     const std::uint64_t weights = weightsOf(state, query.model);
     Millis charges = state.entry.dataCentre == m_here ? Millis::zero() : m_rates.otherCentre;
@@ -171,8 +171,9 @@
     return state.limit.opensAt(now);
 }
 
-BackendBook::Weighed BackendBook::weigh(const BackendQuery &query, const WeightsDates *dates,
-                                        std::size_t more, TimePoint now, NoBackend *none) const
+BackendBook::Weighed BackendBook::weigh(const BackendQuery &query,
+                                        const WeightsAnnouncements *dates, std::size_t more,
+                                        TimePoint now, NoBackend *none) const
 {
     const std::vector<const State *> &all = m_byService.at(query.service);
     const bool hasHome = query.hasHome();
@@ -308,7 +309,7 @@
     }
     const auto datesFound = m_weightsDates.find(query.model);
     const bool hasDates = !query.model.empty() && datesFound != m_weightsDates.end();
-    const WeightsDates *dates = hasDates ? &datesFound->second : nullptr;
+    const WeightsAnnouncements *dates = hasDates ? &datesFound->second : nullptr;
     NoBackend none{true, now + LongestClose};
     std::optional<BackendChoice> chosen = best(query, weigh(query, dates, 0, now, &none), now);
     const Millis mostWait = m_rates.mostWaitTargets * Millis(query.target);
--- a/src/vanilladyke/policy/weights_dates.cpp
+++ b/src/vanilladyke/policy/weights_announcements.cpp
@@ -1,4 +1,4 @@
-#include "vanilladyke/policy/weights_dates.hpp"
+#include "vanilladyke/policy/weights_announcements.hpp"
 
 #include <algorithm>
 
@@ -8,22 +8,22 @@
 
 /// The lower bound is wrong if the store omitted the record from an answer. The time at which some
 /// node already had the weights then corrects it.
-TimePoint earliestBound(const WeightsDate &date)
+TimePoint earliestBound(const WeightsAnnouncement &date)
 {
     return std::min(date.namedAfter, date.knownAt);
 }
 
 } // namespace
 
-WeightsDates::Entries::iterator WeightsDates::lowerBound(std::uint64_t version)
+WeightsAnnouncements::Entries::iterator WeightsAnnouncements::lowerBound(std::uint64_t version)
 {
     return std::lower_bound(
             m_entries.begin(), m_entries.end(), version,
             [](const Entry &entry, std::uint64_t wanted) { return entry.date.version < wanted; });
 }
 
-bool WeightsDates::add(const WeightsDate &date, DateGrounds grounds, TimePoint now,
-                       Duration allowed)
+bool WeightsAnnouncements::add(const WeightsAnnouncement &date, DateGrounds grounds, TimePoint now,
+                               Duration allowed)
 {
     const auto place = lowerBound(date.version);
     if (place != m_entries.end() && place->date.version == date.version) {
@@ -35,9 +35,10 @@
     return kept != m_entries.end() && kept->date.version == date.version;
 }
 
-bool WeightsDates::improve(Entry *entry, const WeightsDate &date, DateGrounds grounds)
+bool WeightsAnnouncements::improve(Entry *entry, const WeightsAnnouncement &date,
+                                   DateGrounds grounds)
 {
-    const WeightsDate before = entry->date;
+    const WeightsAnnouncement before = entry->date;
     if (entry->grounds == DateGrounds::Guess && grounds != DateGrounds::Guess) {
         *entry = Entry{date, grounds};
         return entry->date != before;
@@ -55,14 +56,14 @@
     return entry->date != before;
 }
 
-void WeightsDates::removeObsolete(TimePoint now, Duration allowed)
+void WeightsAnnouncements::removeObsolete(TimePoint now, Duration allowed)
 {
     while (m_entries.size() > 1 && now - earliestBound(m_entries[1].date) > allowed) {
         m_entries.erase(m_entries.begin());
     }
 }
 
-std::optional<TimePoint> WeightsDates::endOf(std::uint64_t version, Duration allowed) const
+std::optional<TimePoint> WeightsAnnouncements::endOf(std::uint64_t version, Duration allowed) const
 {
     std::optional<TimePoint> end;
     for (const Entry &entry : m_entries) {
@@ -74,21 +75,21 @@
     return end;
 }
 
-bool WeightsDates::isReplaced(std::uint64_t version, TimePoint time) const
+bool WeightsAnnouncements::isReplaced(std::uint64_t version, TimePoint time) const
 {
     return std::any_of(m_entries.begin(), m_entries.end(), [&](const Entry &entry) {
         return version < entry.date.version && entry.date.knownAt < time;
     });
 }
 
-std::uint64_t WeightsDates::newest() const
+std::uint64_t WeightsAnnouncements::newest() const
 {
     return m_entries.empty() ? 0 : m_entries.back().date.version;
 }
 
-std::vector<WeightsDate> WeightsDates::toTell() const
+std::vector<WeightsAnnouncement> WeightsAnnouncements::toTell() const
 {
-    std::vector<WeightsDate> result;
+    std::vector<WeightsAnnouncement> result;
     for (const Entry &entry : m_entries) {
         if (entry.grounds != DateGrounds::Guess) {
             result.push_back({entry.date.version, earliestBound(entry.date), entry.date.knownAt});
--- a/src/vanilladyke/policy/weights_dates_test.cpp
+++ b/src/vanilladyke/policy/weights_announcements_test.cpp
@@ -1,4 +1,4 @@
-#include "vanilladyke/policy/weights_dates.hpp"
+#include "vanilladyke/policy/weights_announcements.hpp"
 
 #include "vanilladyke/base/random.hpp"
 
@@ -20,14 +20,14 @@
     return TimePoint(std::chrono::hours(1)) + milliseconds(ms);
 }
 
-WeightsDate date(std::uint64_t version, int namedAfter, int knownAt)
+WeightsAnnouncement date(std::uint64_t version, int namedAfter, int knownAt)
 {
     return {version, at(namedAfter), at(knownAt)};
 }
 
-TEST(WeightsDates, DeadlineOfOlderWeightsUsesTheLowerBound)
+TEST(WeightsAnnouncements, DeadlineOfOlderWeightsUsesTheLowerBound)
 {
-    WeightsDates dates;
+    WeightsAnnouncements dates;
     EXPECT_FALSE(dates.endOf(1, Allowed));
     EXPECT_TRUE(dates.add(date(2, 1000, 2700), DateGrounds::Read, at(2700), Allowed));
     EXPECT_EQ(dates.endOf(1, Allowed), at(1000) + Allowed);
@@ -39,9 +39,9 @@
 
 // Guards against requests that start on old weights after the deadline because the store omitted
 // the record from an answer, which made the lower bound too late.
-TEST(WeightsDates, EarlierReceiptByAnotherNodeCorrectsAWrongLowerBound)
+TEST(WeightsAnnouncements, EarlierReceiptByAnotherNodeCorrectsAWrongLowerBound)
 {
-    WeightsDates dates;
+    WeightsAnnouncements dates;
     EXPECT_TRUE(dates.add(date(2, 4500, 6200), DateGrounds::Read, at(6200), Allowed));
     EXPECT_TRUE(dates.add(date(2, 2700, 2850), DateGrounds::Told, at(6300), Allowed));
     EXPECT_EQ(dates.endOf(1, Allowed), at(2850) + Allowed);
@@ -50,9 +50,9 @@
 
 // Guards against requests that start on old weights after the deadline on a node that restarted
 // during a rollout and only estimates when the weights were announced.
-TEST(WeightsDates, ARestartedNodeTakesTheBoundsOfOthers)
+TEST(WeightsAnnouncements, ARestartedNodeTakesTheBoundsOfOthers)
 {
-    WeightsDates dates;
+    WeightsAnnouncements dates;
     EXPECT_TRUE(dates.add(date(3, 4500, 4500), DateGrounds::Guess, at(12000), Allowed));
     EXPECT_TRUE(dates.toTell().empty()) << "estimates are not sent";
     EXPECT_TRUE(dates.add(date(3, 1000, 1100), DateGrounds::Told, at(12100), Allowed));
@@ -63,9 +63,9 @@
 
 // Guards against an estimate that is too early: a restarted node would exclude all engines with
 // older weights, although they may serve for several seconds more.
-TEST(WeightsDates, AnEstimateIsReplacedByALaterBound)
+TEST(WeightsAnnouncements, AnEstimateIsReplacedByALaterBound)
 {
-    WeightsDates dates;
+    WeightsAnnouncements dates;
     EXPECT_TRUE(dates.add(date(3, 4500, 4500), DateGrounds::Guess, at(12000), Allowed));
     EXPECT_TRUE(dates.add(date(3, 11000, 11100), DateGrounds::Told, at(12100), Allowed));
     EXPECT_EQ(dates.endOf(2, Allowed), at(11000) + Allowed);
@@ -73,9 +73,9 @@
 
 // A node that was down or disconnected when version 2 was announced reads only version 3. Guards
 // against engines with version 1 that stay available until the deadline of version 3.
-TEST(WeightsDates, AMissedVersionStillLimitsOlderOnes)
+TEST(WeightsAnnouncements, AMissedVersionStillLimitsOlderOnes)
 {
-    WeightsDates dates;
+    WeightsAnnouncements dates;
     EXPECT_TRUE(dates.add(date(3, 9000, 9100), DateGrounds::Read, at(9100), Allowed));
     EXPECT_TRUE(dates.add(date(2, 1000, 1100), DateGrounds::Told, at(9200), Allowed));
     EXPECT_EQ(dates.endOf(1, Allowed), at(1000) + Allowed);
@@ -83,9 +83,9 @@
     EXPECT_EQ(dates.newest(), 3U);
 }
 
-TEST(WeightsDates, ObsoleteVersionsAreRemoved)
+TEST(WeightsAnnouncements, ObsoleteVersionsAreRemoved)
 {
-    WeightsDates dates;
+    WeightsAnnouncements dates;
     EXPECT_TRUE(dates.add(date(2, 0, 0), DateGrounds::Read, at(0), Allowed));
     EXPECT_TRUE(dates.add(date(3, 5000, 5000), DateGrounds::Read, at(5000), Allowed));
     EXPECT_TRUE(dates.add(date(4, 21000, 21000), DateGrounds::Read, at(21000), Allowed));
@@ -193,7 +193,7 @@
 private:
     struct Node
     {
-        WeightsDates dates;
+        WeightsAnnouncements dates;
         std::optional<TimePoint> startsAt; ///< the node is down until then; none while it runs
         TimePoint startedAt;
         std::uint64_t known = 1;
@@ -205,7 +205,7 @@
     struct Datagram
     {
         std::size_t to = 0;
-        WeightsDate date; ///< sent as ages relative to sentAt
+        WeightsAnnouncement date; ///< sent as ages relative to sentAt
         TimePoint sentAt;
     };
 
@@ -255,7 +255,7 @@
         }
         node.sendsAt = m_now + SendInterval;
         for (std::size_t to = 0; to < Nodes; ++to) {
-            for (const WeightsDate &each : node.dates.toTell()) {
+            for (const WeightsAnnouncement &each : node.dates.toTell()) {
                 if (to != from && uniform(m_random) >= LossRate) {
                     m_sent.emplace(m_now + upTo(MaxTransferTime), Datagram{to, each, m_now});
                 }
@@ -266,7 +266,7 @@
     void receive(const Datagram &datagram)
     {
         const Duration transferTime = m_now - datagram.sentAt;
-        WeightsDate received = datagram.date;
+        WeightsAnnouncement received = datagram.date;
         received.namedAfter += transferTime;
         received.knownAt += transferTime;
         m_nodes[datagram.to].dates.add(received, DateGrounds::Told, m_now, Allowed);
@@ -283,7 +283,7 @@
 // Weights are announced repeatedly while calls are delayed and nodes are killed. Guards against a
 // node that lets requests start on older weights after the deadline by more than 800 ms, the margin
 // by which requests queued at an engine are withdrawn before the deadline that the node computed.
-TEST(WeightsDates, NoNodeExceedsTheDeadlineByMoreThanTheMargin)
+TEST(WeightsAnnouncements, NoNodeExceedsTheDeadlineByMoreThanTheMargin)
 {
     constexpr Duration Margin = milliseconds(800);
     constexpr Duration SimulatedTime = std::chrono::seconds(90);
