--- a/include/vanilladyke/policy/backend_book.hpp
+++ b/include/vanilladyke/policy/backend_book.hpp
@@ -79,7 +79,7 @@
     void setTransferRates(const TransferRates &rates);
     /// @brief New weights were named, or it was learned when.
     /// @return whether anything changed by it
-    bool weightsNamed(const NamedWeights &weights, DateGrounds grounds, TimePoint now);
+    bool weightsNamed(const NamedWeights &weights, AnnouncementSource grounds, TimePoint now);
     /// @brief What other nodes may rely on of the weights that were named.
     [[nodiscard]] std::vector<NamedWeights> namedWeights() const;
 
--- a/include/vanilladyke/policy/weights_announcements.hpp
+++ b/include/vanilladyke/policy/weights_announcements.hpp
@@ -30,10 +30,10 @@
 };
 
 /// @brief Where the lower bound comes from, the least reliable source first.
-enum class DateGrounds {
-    Guess, ///< estimated: the node has just started and found the weights in the store
-    Told,  ///< received from another node; too late by the time of the transfer
-    Read,  ///< from this node's own reads of the store
+enum class AnnouncementSource {
+    Estimated, ///< estimated: the node has just started and found the weights in the store
+    Reported,  ///< received from another node; too late by the time of the transfer
+    Read,      ///< from this node's own reads of the store
 };
 
 /// @brief The announcements of one model's weights that still affect a deadline. Pure: performs no
@@ -44,7 +44,8 @@
     /// @brief Adds an announcement or improves the bounds of a known one.
     /// @param allowed time from the announcement in which requests may start on older weights
     /// @return whether anything changed
-    bool add(const WeightsAnnouncement &date, DateGrounds grounds, TimePoint now, Duration allowed);
+    bool add(const WeightsAnnouncement &date, AnnouncementSource source, TimePoint now,
+             Duration allowed);
     /// @brief The deadline for starting requests on this version.
     /// @return none if no newer version was announced
     [[nodiscard]] std::optional<TimePoint> endOf(std::uint64_t version, Duration allowed) const;
@@ -59,14 +60,14 @@
     struct Entry
     {
         WeightsAnnouncement date;
-        DateGrounds grounds = DateGrounds::Guess;
+        AnnouncementSource source = AnnouncementSource::Estimated;
     };
 
     using Entries = std::vector<Entry>;
 
     [[nodiscard]] Entries::iterator lowerBound(std::uint64_t version);
     [[nodiscard]] static bool improve(Entry *entry, const WeightsAnnouncement &date,
-                                      DateGrounds grounds);
+                                      AnnouncementSource source);
     /// Removes versions older than one whose own deadline has passed: they affect no deadline.
     void removeObsolete(TimePoint now, Duration allowed);
 
--- a/src/vanilladyke/node/control_plane.cpp
+++ b/src/vanilladyke/node/control_plane.cpp
@@ -57,7 +57,7 @@
         const TimePoint knownAt = MonotonicClock::now() - weights.age;
         const NamedWeights named{weights.model, {weights.version, knownAt, knownAt}};
         tell([named](TrafficState &traffic) {
-            traffic.dateWeights(named, DateGrounds::Told, "lease");
+            traffic.dateWeights(named, AnnouncementSource::Reported, "lease");
         });
     };
     return news;
@@ -130,7 +130,7 @@
     if (age) {
         const NamedWeights named{model, {version, now - *age, now}};
         tell([named](TrafficState &traffic) {
-            traffic.dateWeights(named, DateGrounds::Read, "record");
+            traffic.dateWeights(named, AnnouncementSource::Read, "record");
         });
         return;
     }
@@ -139,7 +139,7 @@
     const TimePoint guess = now - m_traffic.settings.rates.weightsTime / 2;
     const NamedWeights named{model, {version, guess, guess}};
     tell([named](TrafficState &traffic) {
-        traffic.dateWeights(named, DateGrounds::Guess, "guess");
+        traffic.dateWeights(named, AnnouncementSource::Estimated, "guess");
     });
 }
 
--- a/src/vanilladyke/node/load_sharing.cpp
+++ b/src/vanilladyke/node/load_sharing.cpp
@@ -271,7 +271,7 @@
         heardOperatorNext(m_heardOperatorNext);
     }
     for (const wire::NamedWeights &each : message.named_weights()) {
-        m_state.dateWeights(read(each, now), DateGrounds::Told, "peer");
+        m_state.dateWeights(read(each, now), AnnouncementSource::Reported, "peer");
     }
     std::vector<BackendLoadNews> news;
     news.reserve(static_cast<std::size_t>(message.backends_size()));
--- a/src/vanilladyke/policy/backend_book.cpp
+++ b/src/vanilladyke/policy/backend_book.cpp
@@ -194,7 +194,8 @@
     });
 }
 
-bool BackendBook::weightsNamed(const NamedWeights &weights, DateGrounds grounds, TimePoint now)
+bool BackendBook::weightsNamed(const NamedWeights &weights, AnnouncementSource grounds,
+                               TimePoint now)
 {
     return m_weightsDates[weights.model].add(weights.date, grounds, now, m_rates.weightsTime);
 }
--- a/src/vanilladyke/policy/backend_book_test.cpp
+++ b/src/vanilladyke/policy/backend_book_test.cpp
@@ -136,7 +136,7 @@
     }
     for (BackendBook *book : {&one, &two}) {
         book->setBackends(entries);
-        book->weightsNamed({llmModel, {2, at(0), at(0)}}, DateGrounds::Read, at(0));
+        book->weightsNamed({llmModel, {2, at(0), at(0)}}, AnnouncementSource::Read, at(0));
     }
     for (int part = 0; part < 100; ++part) {
         const auto first = one.choose(longPrompt(part), at(5000));
@@ -265,8 +265,8 @@
     auto entries = fleet(2, 1);
     entries[1].weights[llmModel] = 2;
     book.setBackends(entries);
-    book.weightsNamed({llmModel, {2, at(0), at(0)}}, DateGrounds::Read, at(0));
-    book.weightsNamed({llmModel, {3, at(8000), at(8000)}}, DateGrounds::Read, at(8000));
+    book.weightsNamed({llmModel, {2, at(0), at(0)}}, AnnouncementSource::Read, at(0));
+    book.weightsNamed({llmModel, {3, at(8000), at(8000)}}, AnnouncementSource::Read, at(8000));
     for (int part = 0; part < 20; ++part) {
         const auto choice = book.choose(longPrompt(part), at(13'500));
         ASSERT_TRUE(choice);
@@ -279,9 +279,10 @@
 {
     BackendBook book(hereCentre, {});
     book.setBackends(fleet(1, 1));
-    book.weightsNamed({llmModel, {2, at(0), at(0)}}, DateGrounds::Read, at(0));
+    book.weightsNamed({llmModel, {2, at(0), at(0)}}, AnnouncementSource::Read, at(0));
     EXPECT_TRUE(book.choose(longPrompt(1), at(5000)));
-    book.weightsNamed({llmModel, {2, at(-9000), at(-9000)}}, DateGrounds::Told, at(5000));
+    book.weightsNamed({llmModel, {2, at(-9000), at(-9000)}}, AnnouncementSource::Reported,
+                      at(5000));
     EXPECT_FALSE(book.choose(longPrompt(1), at(5000)));
 }
 
@@ -305,7 +306,7 @@
 {
     BackendBook book(hereCentre, {});
     book.setBackends(fleet(1, 1));
-    book.weightsNamed({llmModel, {2, at(0), at(0)}}, DateGrounds::Read, at(0));
+    book.weightsNamed({llmModel, {2, at(0), at(0)}}, AnnouncementSource::Read, at(0));
     book.doubtWeights(EngineId("e0"), llmModel, at(10));
     EXPECT_EQ(book.choose(shortPrompt(1), at(20))->weights, 2U);
 }
--- a/src/vanilladyke/policy/weights_announcements.cpp
+++ b/src/vanilladyke/policy/weights_announcements.cpp
@@ -22,35 +22,35 @@
             [](const Entry &entry, std::uint64_t wanted) { return entry.date.version < wanted; });
 }
 
-bool WeightsAnnouncements::add(const WeightsAnnouncement &date, DateGrounds grounds, TimePoint now,
-                               Duration allowed)
+bool WeightsAnnouncements::add(const WeightsAnnouncement &date, AnnouncementSource source,
+                               TimePoint now, Duration allowed)
 {
     const auto place = lowerBound(date.version);
     if (place != m_entries.end() && place->date.version == date.version) {
-        return improve(&*place, date, grounds);
+        return improve(&*place, date, source);
     }
-    m_entries.insert(place, Entry{date, grounds});
+    m_entries.insert(place, Entry{date, source});
     removeObsolete(now, allowed);
     const auto kept = lowerBound(date.version);
     return kept != m_entries.end() && kept->date.version == date.version;
 }
 
 bool WeightsAnnouncements::improve(Entry *entry, const WeightsAnnouncement &date,
-                                   DateGrounds grounds)
+                                   AnnouncementSource source)
 {
     const WeightsAnnouncement before = entry->date;
-    if (entry->grounds == DateGrounds::Guess && grounds != DateGrounds::Guess) {
-        *entry = Entry{date, grounds};
+    if (entry->source == AnnouncementSource::Estimated && source != AnnouncementSource::Estimated) {
+        *entry = Entry{date, source};
         return entry->date != before;
     }
-    if (grounds == DateGrounds::Guess) {
+    if (source == AnnouncementSource::Estimated) {
         return false;
     }
-    if (grounds == entry->grounds) {
+    if (source == entry->source) {
         entry->date.namedAfter = std::min(entry->date.namedAfter, date.namedAfter);
-    } else if (grounds == DateGrounds::Read) {
+    } else if (source == AnnouncementSource::Read) {
         entry->date.namedAfter = date.namedAfter;
-        entry->grounds = grounds;
+        entry->source = source;
     }
     entry->date.knownAt = std::min(entry->date.knownAt, date.knownAt);
     return entry->date != before;
@@ -91,7 +91,7 @@
 {
     std::vector<WeightsAnnouncement> result;
     for (const Entry &entry : m_entries) {
-        if (entry.grounds != DateGrounds::Guess) {
+        if (entry.source != AnnouncementSource::Estimated) {
             result.push_back({entry.date.version, earliestBound(entry.date), entry.date.knownAt});
         }
     }
--- a/src/vanilladyke/policy/weights_announcements_test.cpp
+++ b/src/vanilladyke/policy/weights_announcements_test.cpp
@@ -29,7 +29,7 @@
 {
     WeightsAnnouncements dates;
     EXPECT_FALSE(dates.endOf(1, Allowed));
-    EXPECT_TRUE(dates.add(date(2, 1000, 2700), DateGrounds::Read, at(2700), Allowed));
+    EXPECT_TRUE(dates.add(date(2, 1000, 2700), AnnouncementSource::Read, at(2700), Allowed));
     EXPECT_EQ(dates.endOf(1, Allowed), at(1000) + Allowed);
     EXPECT_FALSE(dates.endOf(2, Allowed));
     EXPECT_TRUE(dates.isReplaced(1, at(2701)));
@@ -42,10 +42,10 @@
 TEST(WeightsAnnouncements, EarlierReceiptByAnotherNodeCorrectsAWrongLowerBound)
 {
     WeightsAnnouncements dates;
-    EXPECT_TRUE(dates.add(date(2, 4500, 6200), DateGrounds::Read, at(6200), Allowed));
-    EXPECT_TRUE(dates.add(date(2, 2700, 2850), DateGrounds::Told, at(6300), Allowed));
+    EXPECT_TRUE(dates.add(date(2, 4500, 6200), AnnouncementSource::Read, at(6200), Allowed));
+    EXPECT_TRUE(dates.add(date(2, 2700, 2850), AnnouncementSource::Reported, at(6300), Allowed));
     EXPECT_EQ(dates.endOf(1, Allowed), at(2850) + Allowed);
-    EXPECT_FALSE(dates.add(date(2, 2700, 2850), DateGrounds::Told, at(6400), Allowed));
+    EXPECT_FALSE(dates.add(date(2, 2700, 2850), AnnouncementSource::Reported, at(6400), Allowed));
 }
 
 // Guards against requests that start on old weights after the deadline on a node that restarted
@@ -53,12 +53,12 @@
 TEST(WeightsAnnouncements, ARestartedNodeTakesTheBoundsOfOthers)
 {
     WeightsAnnouncements dates;
-    EXPECT_TRUE(dates.add(date(3, 4500, 4500), DateGrounds::Guess, at(12000), Allowed));
+    EXPECT_TRUE(dates.add(date(3, 4500, 4500), AnnouncementSource::Estimated, at(12000), Allowed));
     EXPECT_TRUE(dates.toTell().empty()) << "estimates are not sent";
-    EXPECT_TRUE(dates.add(date(3, 1000, 1100), DateGrounds::Told, at(12100), Allowed));
+    EXPECT_TRUE(dates.add(date(3, 1000, 1100), AnnouncementSource::Reported, at(12100), Allowed));
     EXPECT_EQ(dates.endOf(2, Allowed), at(1000) + Allowed);
     EXPECT_EQ(dates.toTell(), std::vector{date(3, 1000, 1100)});
-    EXPECT_FALSE(dates.add(date(3, 4600, 4600), DateGrounds::Guess, at(12200), Allowed));
+    EXPECT_FALSE(dates.add(date(3, 4600, 4600), AnnouncementSource::Estimated, at(12200), Allowed));
 }
 
 // Guards against an estimate that is too early: a restarted node would exclude all engines with
@@ -66,8 +66,8 @@
 TEST(WeightsAnnouncements, AnEstimateIsReplacedByALaterBound)
 {
     WeightsAnnouncements dates;
-    EXPECT_TRUE(dates.add(date(3, 4500, 4500), DateGrounds::Guess, at(12000), Allowed));
-    EXPECT_TRUE(dates.add(date(3, 11000, 11100), DateGrounds::Told, at(12100), Allowed));
+    EXPECT_TRUE(dates.add(date(3, 4500, 4500), AnnouncementSource::Estimated, at(12000), Allowed));
+    EXPECT_TRUE(dates.add(date(3, 11000, 11100), AnnouncementSource::Reported, at(12100), Allowed));
     EXPECT_EQ(dates.endOf(2, Allowed), at(11000) + Allowed);
 }
 
@@ -76,8 +76,8 @@
 TEST(WeightsAnnouncements, AMissedVersionStillLimitsOlderOnes)
 {
     WeightsAnnouncements dates;
-    EXPECT_TRUE(dates.add(date(3, 9000, 9100), DateGrounds::Read, at(9100), Allowed));
-    EXPECT_TRUE(dates.add(date(2, 1000, 1100), DateGrounds::Told, at(9200), Allowed));
+    EXPECT_TRUE(dates.add(date(3, 9000, 9100), AnnouncementSource::Read, at(9100), Allowed));
+    EXPECT_TRUE(dates.add(date(2, 1000, 1100), AnnouncementSource::Reported, at(9200), Allowed));
     EXPECT_EQ(dates.endOf(1, Allowed), at(1000) + Allowed);
     EXPECT_EQ(dates.endOf(2, Allowed), at(9000) + Allowed);
     EXPECT_EQ(dates.newest(), 3U);
@@ -86,11 +86,11 @@
 TEST(WeightsAnnouncements, ObsoleteVersionsAreRemoved)
 {
     WeightsAnnouncements dates;
-    EXPECT_TRUE(dates.add(date(2, 0, 0), DateGrounds::Read, at(0), Allowed));
-    EXPECT_TRUE(dates.add(date(3, 5000, 5000), DateGrounds::Read, at(5000), Allowed));
-    EXPECT_TRUE(dates.add(date(4, 21000, 21000), DateGrounds::Read, at(21000), Allowed));
+    EXPECT_TRUE(dates.add(date(2, 0, 0), AnnouncementSource::Read, at(0), Allowed));
+    EXPECT_TRUE(dates.add(date(3, 5000, 5000), AnnouncementSource::Read, at(5000), Allowed));
+    EXPECT_TRUE(dates.add(date(4, 21000, 21000), AnnouncementSource::Read, at(21000), Allowed));
     EXPECT_EQ(dates.toTell().size(), 2U);
-    EXPECT_FALSE(dates.add(date(2, 0, 0), DateGrounds::Told, at(21100), Allowed));
+    EXPECT_FALSE(dates.add(date(2, 0, 0), AnnouncementSource::Reported, at(21100), Allowed));
     EXPECT_EQ(dates.endOf(1, Allowed), at(5000) + Allowed);
 }
 
@@ -221,7 +221,8 @@
         node.sendsAt = m_now + upTo(SendInterval);
         if (m_newest > 1) {
             const TimePoint estimate = m_now - Allowed / 2;
-            node.dates.add({m_newest, estimate, estimate}, DateGrounds::Guess, m_now, Allowed);
+            node.dates.add({m_newest, estimate, estimate}, AnnouncementSource::Estimated, m_now,
+                           Allowed);
         }
         m_nodes[i] = std::move(node);
     }
@@ -235,7 +236,7 @@
         const bool isOmitted = node->missedWaits > 1;
         if (!isOmitted) {
             for (std::uint64_t version = node->known + 1; version <= m_newest; ++version) {
-                node->dates.add({version, node->lastReadAt, m_now}, DateGrounds::Read, m_now,
+                node->dates.add({version, node->lastReadAt, m_now}, AnnouncementSource::Read, m_now,
                                 Allowed);
             }
             node->known = m_newest;
@@ -269,7 +270,7 @@
         WeightsAnnouncement received = datagram.date;
         received.namedAfter += transferTime;
         received.knownAt += transferTime;
-        m_nodes[datagram.to].dates.add(received, DateGrounds::Told, m_now, Allowed);
+        m_nodes[datagram.to].dates.add(received, AnnouncementSource::Reported, m_now, Allowed);
     }
 
     Random m_random;
--- a/src/vanilladyke/traffic/exchange_test.cpp
+++ b/src/vanilladyke/traffic/exchange_test.cpp
@@ -562,7 +562,7 @@
     const TimePoint now = MonotonicClock::now();
     constexpr Duration Left = milliseconds(2500); // open to choices, soon to be withdrawn from
     const TimePoint namedAt = now + Left - m_state.settings.rates.weightsTime;
-    m_state.book.weightsNamed({model, {2, namedAt, namedAt}}, DateGrounds::Read, now);
+    m_state.book.weightsNamed({model, {2, namedAt, namedAt}}, AnnouncementSource::Read, now);
     m_state.book.loading(EngineId("e3"), now + Left / 2);
     connect();
     send("POST /a/x HTTP/1.1\r\nHost: h\r\nKey: k\r\nModel: m\r\nId: 1\r\nContent-Length: "
--- a/src/vanilladyke/traffic/traffic_state.cpp
+++ b/src/vanilladyke/traffic/traffic_state.cpp
@@ -4,7 +4,7 @@
 
 namespace vanilladyke {
 
-void TrafficState::dateWeights(const NamedWeights &weights, DateGrounds grounds,
+void TrafficState::dateWeights(const NamedWeights &weights, AnnouncementSource grounds,
                                std::string_view by)
 {
     const TimePoint now = MonotonicClock::now();
