--- a/include/vanilladyke/policy/weights_announcements.hpp
+++ b/include/vanilladyke/policy/weights_announcements.hpp
@@ -23,8 +23,8 @@
 struct WeightsAnnouncement
 {
     std::uint64_t version = 0;
-    TimePoint namedAfter; ///< last read of the records that did not contain them
-    TimePoint knownAt;    ///< earliest known receipt by any node
+    TimePoint announcedAfter;  ///< last read of the records that did not contain them
+    TimePoint firstReceivedAt; ///< earliest known receipt by any node
 
     bool operator==(const WeightsAnnouncement &) const = default;
 };
--- a/src/vanilladyke/node/control_plane.cpp
+++ b/src/vanilladyke/node/control_plane.cpp
@@ -54,8 +54,9 @@
         });
     };
     news.aged = [this](const WeightsAge &weights) {
-        const TimePoint knownAt = MonotonicClock::now() - weights.age;
-        const NamedWeights named{weights.model, {weights.version, knownAt, knownAt}};
+        const TimePoint firstReceivedAt = MonotonicClock::now() - weights.age;
+        const NamedWeights named{weights.model,
+                                 {weights.version, firstReceivedAt, firstReceivedAt}};
         tell([named](TrafficState &traffic) {
             traffic.dateWeights(named, AnnouncementSource::Reported, "lease");
         });
--- a/src/vanilladyke/node/load_sharing.cpp
+++ b/src/vanilladyke/node/load_sharing.cpp
@@ -44,8 +44,8 @@
     out->set_model(weights.model.str());
     out->set_version(weights.date.version);
     // Rounded up: the receiver's bound must not be later than this node's.
-    out->set_named_age_ms(millis(std::min(now - weights.date.namedAfter, OldestTold)) + 1);
-    out->set_known_age_ms(millis(std::min(now - weights.date.knownAt, OldestTold)));
+    out->set_named_age_ms(millis(std::min(now - weights.date.announcedAfter, OldestTold)) + 1);
+    out->set_known_age_ms(millis(std::min(now - weights.date.firstReceivedAt, OldestTold)));
 }
 
 NamedWeights read(const wire::NamedWeights &weights, TimePoint now)
--- a/src/vanilladyke/policy/weights_announcements.cpp
+++ b/src/vanilladyke/policy/weights_announcements.cpp
@@ -10,7 +10,7 @@
 /// node already had the weights then corrects it.
 TimePoint earliestBound(const WeightsAnnouncement &date)
 {
-    return std::min(date.namedAfter, date.knownAt);
+    return std::min(date.announcedAfter, date.firstReceivedAt);
 }
 
 } // namespace
@@ -47,12 +47,12 @@
         return false;
     }
     if (source == entry->source) {
-        entry->date.namedAfter = std::min(entry->date.namedAfter, date.namedAfter);
+        entry->date.announcedAfter = std::min(entry->date.announcedAfter, date.announcedAfter);
     } else if (source == AnnouncementSource::Read) {
-        entry->date.namedAfter = date.namedAfter;
+        entry->date.announcedAfter = date.announcedAfter;
         entry->source = source;
     }
-    entry->date.knownAt = std::min(entry->date.knownAt, date.knownAt);
+    entry->date.firstReceivedAt = std::min(entry->date.firstReceivedAt, date.firstReceivedAt);
     return entry->date != before;
 }
 
@@ -78,7 +78,7 @@
 bool WeightsAnnouncements::isReplaced(std::uint64_t version, TimePoint time) const
 {
     return std::any_of(m_entries.begin(), m_entries.end(), [&](const Entry &entry) {
-        return version < entry.date.version && entry.date.knownAt < time;
+        return version < entry.date.version && entry.date.firstReceivedAt < time;
     });
 }
 
@@ -92,7 +92,8 @@
     std::vector<WeightsAnnouncement> result;
     for (const Entry &entry : m_entries) {
         if (entry.source != AnnouncementSource::Estimated) {
-            result.push_back({entry.date.version, earliestBound(entry.date), entry.date.knownAt});
+            result.push_back(
+                    {entry.date.version, earliestBound(entry.date), entry.date.firstReceivedAt});
         }
     }
     return result;
--- a/src/vanilladyke/policy/weights_announcements_test.cpp
+++ b/src/vanilladyke/policy/weights_announcements_test.cpp
@@ -20,9 +20,9 @@
     return TimePoint(std::chrono::hours(1)) + milliseconds(ms);
 }
 
-WeightsAnnouncement date(std::uint64_t version, int namedAfter, int knownAt)
+WeightsAnnouncement date(std::uint64_t version, int announcedAfter, int firstReceivedAt)
 {
-    return {version, at(namedAfter), at(knownAt)};
+    return {version, at(announcedAfter), at(firstReceivedAt)};
 }
 
 TEST(WeightsAnnouncements, DeadlineOfOlderWeightsUsesTheLowerBound)
@@ -268,8 +268,8 @@
     {
         const Duration transferTime = m_now - datagram.sentAt;
         WeightsAnnouncement received = datagram.date;
-        received.namedAfter += transferTime;
-        received.knownAt += transferTime;
+        received.announcedAfter += transferTime;
+        received.firstReceivedAt += transferTime;
         m_nodes[datagram.to].dates.add(received, AnnouncementSource::Reported, m_now, Allowed);
     }
 
--- a/src/vanilladyke/traffic/traffic_state.cpp
+++ b/src/vanilladyke/traffic/traffic_state.cpp
@@ -15,8 +15,8 @@
             .field("model", weights.model.str())
             .field("version", weights.date.version)
             .field("by", by)
-            .field("age_ms", now - weights.date.namedAfter)
-            .field("known_ms", now - weights.date.knownAt);
+            .field("age_ms", now - weights.date.announcedAfter)
+            .field("known_ms", now - weights.date.firstReceivedAt);
 }
 
 } // namespace vanilladyke
