--- a/include/vanilladyke/policy/weights_announcements.hpp
+++ b/include/vanilladyke/policy/weights_announcements.hpp
@@ -44,29 +44,30 @@
     /// @brief Adds an announcement or improves the bounds of a known one.
     /// @param allowed time from the announcement in which requests may start on older weights
     /// @return whether anything changed
-    bool add(const WeightsAnnouncement &date, AnnouncementSource source, TimePoint now,
+    bool add(const WeightsAnnouncement &announcement, AnnouncementSource source, TimePoint now,
              Duration allowed);
     /// @brief The deadline for starting requests on this version.
     /// @return none if no newer version was announced
-    [[nodiscard]] std::optional<TimePoint> endOf(std::uint64_t version, Duration allowed) const;
+    [[nodiscard]] std::optional<TimePoint> deadlineOf(std::uint64_t version,
+                                                      Duration allowed) const;
     /// @brief Whether any node had received a newer version before @p time.
-    [[nodiscard]] bool isReplaced(std::uint64_t version, TimePoint time) const;
+    [[nodiscard]] bool isSuperseded(std::uint64_t version, TimePoint time) const;
     /// @return the newest announced version; 0 if there is none
     [[nodiscard]] std::uint64_t newest() const;
     /// @brief The bounds to send to other nodes; excludes estimates.
-    [[nodiscard]] std::vector<WeightsAnnouncement> toTell() const;
+    [[nodiscard]] std::vector<WeightsAnnouncement> reportable() const;
 
 private:
     struct Entry
     {
-        WeightsAnnouncement date;
+        WeightsAnnouncement announcement;
         AnnouncementSource source = AnnouncementSource::Estimated;
     };
 
     using Entries = std::vector<Entry>;
 
     [[nodiscard]] Entries::iterator lowerBound(std::uint64_t version);
-    [[nodiscard]] static bool improve(Entry *entry, const WeightsAnnouncement &date,
+    [[nodiscard]] static bool improve(Entry *entry, const WeightsAnnouncement &announcement,
                                       AnnouncementSource source);
     /// Removes versions older than one whose own deadline has passed: they affect no deadline.
     void removeObsolete(TimePoint now, Duration allowed);
--- a/src/vanilladyke/policy/backend_book.cpp
+++ b/src/vanilladyke/policy/backend_book.cpp
@@ -204,7 +204,7 @@
 {
     std::vector<NamedWeights> result;
     for (const auto &[model, dates] : m_weightsDates) {
-        for (const WeightsAnnouncement &date : dates.toTell()) {
+        for (const WeightsAnnouncement &date : dates.reportable()) {
             result.push_back({model, date});
         }
     }
--- a/src/vanilladyke/policy/backend_choice.cpp
+++ b/src/vanilladyke/policy/backend_choice.cpp
@@ -42,7 +42,7 @@
     if (state == m_states.end() || dates == m_weightsDates.end()) {
         return std::nullopt;
     }
-    return dates->second.endOf(weightsOf(state->second, model), m_rates.weightsTime);
+    return dates->second.deadlineOf(weightsOf(state->second, model), m_rates.weightsTime);
 }
 
 bool BackendBook::mayBegin(const State &state, const BackendQuery &query,
@@ -51,7 +51,7 @@
     if (dates == nullptr) {
         return true;
     }
-    const auto end = dates->endOf(weightsOf(state, query.model), m_rates.weightsTime);
+    const auto end = dates->deadlineOf(weightsOf(state, query.model), m_rates.weightsTime);
     if (!end) {
         return true;
     }
@@ -108,7 +108,7 @@
     if (state.limit.perSecond()) {
         charges += m_rates.limitedCost * state.limit.scarcity(now);
     }
-    if (dates != nullptr && dates->isReplaced(weights, now - OldWeightsGrace)) {
+    if (dates != nullptr && dates->isSuperseded(weights, now - OldWeightsGrace)) {
         charges += m_rates.oldWeightsPart * Millis(query.target);
     }
     return charges;
--- a/src/vanilladyke/policy/weights_announcements.cpp
+++ b/src/vanilladyke/policy/weights_announcements.cpp
@@ -8,92 +8,96 @@
 
 /// The lower bound is wrong if the store omitted the record from an answer. The time at which some
 /// node already had the weights then corrects it.
-TimePoint earliestBound(const WeightsAnnouncement &date)
+TimePoint earliestBound(const WeightsAnnouncement &announcement)
 {
-    return std::min(date.announcedAfter, date.firstReceivedAt);
+    return std::min(announcement.announcedAfter, announcement.firstReceivedAt);
 }
 
 } // namespace
 
 WeightsAnnouncements::Entries::iterator WeightsAnnouncements::lowerBound(std::uint64_t version)
 {
-    return std::lower_bound(
-            m_entries.begin(), m_entries.end(), version,
-            [](const Entry &entry, std::uint64_t wanted) { return entry.date.version < wanted; });
+    return std::lower_bound(m_entries.begin(), m_entries.end(), version,
+                            [](const Entry &entry, std::uint64_t wanted) {
+                                return entry.announcement.version < wanted;
+                            });
 }
 
-bool WeightsAnnouncements::add(const WeightsAnnouncement &date, AnnouncementSource source,
+bool WeightsAnnouncements::add(const WeightsAnnouncement &announcement, AnnouncementSource source,
                                TimePoint now, Duration allowed)
 {
-    const auto place = lowerBound(date.version);
-    if (place != m_entries.end() && place->date.version == date.version) {
-        return improve(&*place, date, source);
+    const auto place = lowerBound(announcement.version);
+    if (place != m_entries.end() && place->announcement.version == announcement.version) {
+        return improve(&*place, announcement, source);
     }
-    m_entries.insert(place, Entry{date, source});
+    m_entries.insert(place, Entry{announcement, source});
     removeObsolete(now, allowed);
-    const auto kept = lowerBound(date.version);
-    return kept != m_entries.end() && kept->date.version == date.version;
+    const auto kept = lowerBound(announcement.version);
+    return kept != m_entries.end() && kept->announcement.version == announcement.version;
 }
 
-bool WeightsAnnouncements::improve(Entry *entry, const WeightsAnnouncement &date,
+bool WeightsAnnouncements::improve(Entry *entry, const WeightsAnnouncement &announcement,
                                    AnnouncementSource source)
 {
-    const WeightsAnnouncement before = entry->date;
+    const WeightsAnnouncement before = entry->announcement;
     if (entry->source == AnnouncementSource::Estimated && source != AnnouncementSource::Estimated) {
-        *entry = Entry{date, source};
-        return entry->date != before;
+        *entry = Entry{announcement, source};
+        return entry->announcement != before;
     }
     if (source == AnnouncementSource::Estimated) {
         return false;
     }
     if (source == entry->source) {
-        entry->date.announcedAfter = std::min(entry->date.announcedAfter, date.announcedAfter);
+        entry->announcement.announcedAfter =
+                std::min(entry->announcement.announcedAfter, announcement.announcedAfter);
     } else if (source == AnnouncementSource::Read) {
-        entry->date.announcedAfter = date.announcedAfter;
+        entry->announcement.announcedAfter = announcement.announcedAfter;
         entry->source = source;
     }
-    entry->date.firstReceivedAt = std::min(entry->date.firstReceivedAt, date.firstReceivedAt);
-    return entry->date != before;
+    entry->announcement.firstReceivedAt =
+            std::min(entry->announcement.firstReceivedAt, announcement.firstReceivedAt);
+    return entry->announcement != before;
 }
 
 void WeightsAnnouncements::removeObsolete(TimePoint now, Duration allowed)
 {
-    while (m_entries.size() > 1 && now - earliestBound(m_entries[1].date) > allowed) {
+    while (m_entries.size() > 1 && now - earliestBound(m_entries[1].announcement) > allowed) {
         m_entries.erase(m_entries.begin());
     }
 }
 
-std::optional<TimePoint> WeightsAnnouncements::endOf(std::uint64_t version, Duration allowed) const
+std::optional<TimePoint> WeightsAnnouncements::deadlineOf(std::uint64_t version,
+                                                          Duration allowed) const
 {
     std::optional<TimePoint> end;
     for (const Entry &entry : m_entries) {
-        const TimePoint deadline = earliestBound(entry.date) + allowed;
-        if (version < entry.date.version && (!end || deadline < *end)) {
+        const TimePoint deadline = earliestBound(entry.announcement) + allowed;
+        if (version < entry.announcement.version && (!end || deadline < *end)) {
             end = deadline;
         }
     }
     return end;
 }
 
-bool WeightsAnnouncements::isReplaced(std::uint64_t version, TimePoint time) const
+bool WeightsAnnouncements::isSuperseded(std::uint64_t version, TimePoint time) const
 {
     return std::any_of(m_entries.begin(), m_entries.end(), [&](const Entry &entry) {
-        return version < entry.date.version && entry.date.firstReceivedAt < time;
+        return version < entry.announcement.version && entry.announcement.firstReceivedAt < time;
     });
 }
 
 std::uint64_t WeightsAnnouncements::newest() const
 {
-    return m_entries.empty() ? 0 : m_entries.back().date.version;
+    return m_entries.empty() ? 0 : m_entries.back().announcement.version;
 }
 
-std::vector<WeightsAnnouncement> WeightsAnnouncements::toTell() const
+std::vector<WeightsAnnouncement> WeightsAnnouncements::reportable() const
 {
     std::vector<WeightsAnnouncement> result;
     for (const Entry &entry : m_entries) {
         if (entry.source != AnnouncementSource::Estimated) {
-            result.push_back(
-                    {entry.date.version, earliestBound(entry.date), entry.date.firstReceivedAt});
+            result.push_back({entry.announcement.version, earliestBound(entry.announcement),
+                              entry.announcement.firstReceivedAt});
         }
     }
     return result;
--- a/src/vanilladyke/policy/weights_announcements_test.cpp
+++ b/src/vanilladyke/policy/weights_announcements_test.cpp
@@ -20,78 +20,92 @@
     return TimePoint(std::chrono::hours(1)) + milliseconds(ms);
 }
 
-WeightsAnnouncement date(std::uint64_t version, int announcedAfter, int firstReceivedAt)
+WeightsAnnouncement announcement(std::uint64_t version, int announcedAfter, int firstReceivedAt)
 {
     return {version, at(announcedAfter), at(firstReceivedAt)};
 }
 
 TEST(WeightsAnnouncements, DeadlineOfOlderWeightsUsesTheLowerBound)
 {
-    WeightsAnnouncements dates;
-    EXPECT_FALSE(dates.endOf(1, Allowed));
-    EXPECT_TRUE(dates.add(date(2, 1000, 2700), AnnouncementSource::Read, at(2700), Allowed));
-    EXPECT_EQ(dates.endOf(1, Allowed), at(1000) + Allowed);
-    EXPECT_FALSE(dates.endOf(2, Allowed));
-    EXPECT_TRUE(dates.isReplaced(1, at(2701)));
-    EXPECT_FALSE(dates.isReplaced(1, at(2700)));
-    EXPECT_EQ(dates.newest(), 2U);
+    WeightsAnnouncements announcements;
+    EXPECT_FALSE(announcements.deadlineOf(1, Allowed));
+    EXPECT_TRUE(announcements.add(announcement(2, 1000, 2700), AnnouncementSource::Read, at(2700),
+                                  Allowed));
+    EXPECT_EQ(announcements.deadlineOf(1, Allowed), at(1000) + Allowed);
+    EXPECT_FALSE(announcements.deadlineOf(2, Allowed));
+    EXPECT_TRUE(announcements.isSuperseded(1, at(2701)));
+    EXPECT_FALSE(announcements.isSuperseded(1, at(2700)));
+    EXPECT_EQ(announcements.newest(), 2U);
 }
 
 // Guards against requests that start on old weights after the deadline because the store omitted
 // the record from an answer, which made the lower bound too late.
 TEST(WeightsAnnouncements, EarlierReceiptByAnotherNodeCorrectsAWrongLowerBound)
 {
-    WeightsAnnouncements dates;
-    EXPECT_TRUE(dates.add(date(2, 4500, 6200), AnnouncementSource::Read, at(6200), Allowed));
-    EXPECT_TRUE(dates.add(date(2, 2700, 2850), AnnouncementSource::Reported, at(6300), Allowed));
-    EXPECT_EQ(dates.endOf(1, Allowed), at(2850) + Allowed);
-    EXPECT_FALSE(dates.add(date(2, 2700, 2850), AnnouncementSource::Reported, at(6400), Allowed));
+    WeightsAnnouncements announcements;
+    EXPECT_TRUE(announcements.add(announcement(2, 4500, 6200), AnnouncementSource::Read, at(6200),
+                                  Allowed));
+    EXPECT_TRUE(announcements.add(announcement(2, 2700, 2850), AnnouncementSource::Reported,
+                                  at(6300), Allowed));
+    EXPECT_EQ(announcements.deadlineOf(1, Allowed), at(2850) + Allowed);
+    EXPECT_FALSE(announcements.add(announcement(2, 2700, 2850), AnnouncementSource::Reported,
+                                   at(6400), Allowed));
 }
 
 // Guards against requests that start on old weights after the deadline on a node that restarted
 // during a rollout and only estimates when the weights were announced.
 TEST(WeightsAnnouncements, ARestartedNodeTakesTheBoundsOfOthers)
 {
-    WeightsAnnouncements dates;
-    EXPECT_TRUE(dates.add(date(3, 4500, 4500), AnnouncementSource::Estimated, at(12000), Allowed));
-    EXPECT_TRUE(dates.toTell().empty()) << "estimates are not sent";
-    EXPECT_TRUE(dates.add(date(3, 1000, 1100), AnnouncementSource::Reported, at(12100), Allowed));
-    EXPECT_EQ(dates.endOf(2, Allowed), at(1000) + Allowed);
-    EXPECT_EQ(dates.toTell(), std::vector{date(3, 1000, 1100)});
-    EXPECT_FALSE(dates.add(date(3, 4600, 4600), AnnouncementSource::Estimated, at(12200), Allowed));
+    WeightsAnnouncements announcements;
+    EXPECT_TRUE(announcements.add(announcement(3, 4500, 4500), AnnouncementSource::Estimated,
+                                  at(12000), Allowed));
+    EXPECT_TRUE(announcements.reportable().empty()) << "estimates are not sent";
+    EXPECT_TRUE(announcements.add(announcement(3, 1000, 1100), AnnouncementSource::Reported,
+                                  at(12100), Allowed));
+    EXPECT_EQ(announcements.deadlineOf(2, Allowed), at(1000) + Allowed);
+    EXPECT_EQ(announcements.reportable(), std::vector{announcement(3, 1000, 1100)});
+    EXPECT_FALSE(announcements.add(announcement(3, 4600, 4600), AnnouncementSource::Estimated,
+                                   at(12200), Allowed));
 }
 
 // Guards against an estimate that is too early: a restarted node would exclude all engines with
 // older weights, although they may serve for several seconds more.
 TEST(WeightsAnnouncements, AnEstimateIsReplacedByALaterBound)
 {
-    WeightsAnnouncements dates;
-    EXPECT_TRUE(dates.add(date(3, 4500, 4500), AnnouncementSource::Estimated, at(12000), Allowed));
-    EXPECT_TRUE(dates.add(date(3, 11000, 11100), AnnouncementSource::Reported, at(12100), Allowed));
-    EXPECT_EQ(dates.endOf(2, Allowed), at(11000) + Allowed);
+    WeightsAnnouncements announcements;
+    EXPECT_TRUE(announcements.add(announcement(3, 4500, 4500), AnnouncementSource::Estimated,
+                                  at(12000), Allowed));
+    EXPECT_TRUE(announcements.add(announcement(3, 11000, 11100), AnnouncementSource::Reported,
+                                  at(12100), Allowed));
+    EXPECT_EQ(announcements.deadlineOf(2, Allowed), at(11000) + Allowed);
 }
 
 // A node that was down or disconnected when version 2 was announced reads only version 3. Guards
 // against engines with version 1 that stay available until the deadline of version 3.
 TEST(WeightsAnnouncements, AMissedVersionStillLimitsOlderOnes)
 {
-    WeightsAnnouncements dates;
-    EXPECT_TRUE(dates.add(date(3, 9000, 9100), AnnouncementSource::Read, at(9100), Allowed));
-    EXPECT_TRUE(dates.add(date(2, 1000, 1100), AnnouncementSource::Reported, at(9200), Allowed));
-    EXPECT_EQ(dates.endOf(1, Allowed), at(1000) + Allowed);
-    EXPECT_EQ(dates.endOf(2, Allowed), at(9000) + Allowed);
-    EXPECT_EQ(dates.newest(), 3U);
+    WeightsAnnouncements announcements;
+    EXPECT_TRUE(announcements.add(announcement(3, 9000, 9100), AnnouncementSource::Read, at(9100),
+                                  Allowed));
+    EXPECT_TRUE(announcements.add(announcement(2, 1000, 1100), AnnouncementSource::Reported,
+                                  at(9200), Allowed));
+    EXPECT_EQ(announcements.deadlineOf(1, Allowed), at(1000) + Allowed);
+    EXPECT_EQ(announcements.deadlineOf(2, Allowed), at(9000) + Allowed);
+    EXPECT_EQ(announcements.newest(), 3U);
 }
 
 TEST(WeightsAnnouncements, ObsoleteVersionsAreRemoved)
 {
-    WeightsAnnouncements dates;
-    EXPECT_TRUE(dates.add(date(2, 0, 0), AnnouncementSource::Read, at(0), Allowed));
-    EXPECT_TRUE(dates.add(date(3, 5000, 5000), AnnouncementSource::Read, at(5000), Allowed));
-    EXPECT_TRUE(dates.add(date(4, 21000, 21000), AnnouncementSource::Read, at(21000), Allowed));
-    EXPECT_EQ(dates.toTell().size(), 2U);
-    EXPECT_FALSE(dates.add(date(2, 0, 0), AnnouncementSource::Reported, at(21100), Allowed));
-    EXPECT_EQ(dates.endOf(1, Allowed), at(5000) + Allowed);
+    WeightsAnnouncements announcements;
+    EXPECT_TRUE(announcements.add(announcement(2, 0, 0), AnnouncementSource::Read, at(0), Allowed));
+    EXPECT_TRUE(announcements.add(announcement(3, 5000, 5000), AnnouncementSource::Read, at(5000),
+                                  Allowed));
+    EXPECT_TRUE(announcements.add(announcement(4, 21000, 21000), AnnouncementSource::Read,
+                                  at(21000), Allowed));
+    EXPECT_EQ(announcements.reportable().size(), 2U);
+    EXPECT_FALSE(announcements.add(announcement(2, 0, 0), AnnouncementSource::Reported, at(21100),
+                                   Allowed));
+    EXPECT_EQ(announcements.deadlineOf(1, Allowed), at(5000) + Allowed);
 }
 
 /// Six nodes that follow the records by long polling and exchange their bounds. The store misses
@@ -165,7 +179,7 @@
                 if (!decides || node.startsAt || m_now - node.startedAt < SettleTime) {
                     continue;
                 }
-                const auto end = node.dates.endOf(version - 1, Allowed);
+                const auto end = node.announcements.deadlineOf(version - 1, Allowed);
                 latest = std::max(latest, end ? *end - namedAt - Allowed : Allowed);
             }
         }
@@ -178,7 +192,7 @@
     {
         Duration soonest = Duration::zero();
         for (const Node &node : m_nodes) {
-            const auto end = node.dates.endOf(m_newest - 1, Allowed);
+            const auto end = node.announcements.deadlineOf(m_newest - 1, Allowed);
             const bool isEstimate = node.startsAt || m_now - node.startedAt < SettleTime;
             if (end && !isEstimate) {
                 soonest = std::max(soonest, m_announcedAt.at(m_newest) + Allowed - *end);
@@ -193,7 +207,7 @@
 private:
     struct Node
     {
-        WeightsAnnouncements dates;
+        WeightsAnnouncements announcements;
         std::optional<TimePoint> startsAt; ///< the node is down until then; none while it runs
         TimePoint startedAt;
         std::uint64_t known = 1;
@@ -205,7 +219,7 @@
     struct Datagram
     {
         std::size_t to = 0;
-        WeightsAnnouncement date; ///< sent as ages relative to sentAt
+        WeightsAnnouncement announcement; ///< sent as ages relative to sentAt
         TimePoint sentAt;
     };
 
@@ -221,8 +235,8 @@
         node.sendsAt = m_now + upTo(SendInterval);
         if (m_newest > 1) {
             const TimePoint estimate = m_now - Allowed / 2;
-            node.dates.add({m_newest, estimate, estimate}, AnnouncementSource::Estimated, m_now,
-                           Allowed);
+            node.announcements.add({m_newest, estimate, estimate}, AnnouncementSource::Estimated,
+                                   m_now, Allowed);
         }
         m_nodes[i] = std::move(node);
     }
@@ -236,8 +250,8 @@
         const bool isOmitted = node->missedWaits > 1;
         if (!isOmitted) {
             for (std::uint64_t version = node->known + 1; version <= m_newest; ++version) {
-                node->dates.add({version, node->lastReadAt, m_now}, AnnouncementSource::Read, m_now,
-                                Allowed);
+                node->announcements.add({version, node->lastReadAt, m_now},
+                                        AnnouncementSource::Read, m_now, Allowed);
             }
             node->known = m_newest;
         }
@@ -256,7 +270,7 @@
         }
         node.sendsAt = m_now + SendInterval;
         for (std::size_t to = 0; to < Nodes; ++to) {
-            for (const WeightsAnnouncement &each : node.dates.toTell()) {
+            for (const WeightsAnnouncement &each : node.announcements.reportable()) {
                 if (to != from && uniform(m_random) >= LossRate) {
                     m_sent.emplace(m_now + upTo(MaxTransferTime), Datagram{to, each, m_now});
                 }
@@ -267,10 +281,11 @@
     void receive(const Datagram &datagram)
     {
         const Duration transferTime = m_now - datagram.sentAt;
-        WeightsAnnouncement received = datagram.date;
+        WeightsAnnouncement received = datagram.announcement;
         received.announcedAfter += transferTime;
         received.firstReceivedAt += transferTime;
-        m_nodes[datagram.to].dates.add(received, AnnouncementSource::Reported, m_now, Allowed);
+        m_nodes[datagram.to].announcements.add(received, AnnouncementSource::Reported, m_now,
+                                               Allowed);
     }
 
     Random m_random;
