--- a/include/vanilladyke/policy/weights_rollout.hpp
+++ b/include/vanilladyke/policy/weights_rollout.hpp
@@ -43,17 +43,17 @@
     double loadingPart = 0.2;
     /// Largest fraction of the fleet with an order in progress, used in full only if orders take
     /// so long that the deadline requires it. Raised near the deadline, see ExpediteFrom.
-    double outPart = 0.34;
+    double orderedPart = 0.34;
 };
 
 /// @brief Progress of a rollout, for the log.
 struct RolloutProgress
 {
     std::size_t pending = 0;    ///< engines on older weights
-    std::size_t underOrder = 0; ///< of these, with an order in progress
-    std::size_t putOff = 0;     ///< of these, in back-off after a failure
-    EngineId first;             ///< pending engine without an order that failed most often
-    int firstFailures = 0;      ///< consecutive failures of that engine
+    std::size_t ordered = 0;    ///< of these, with an order in progress
+    std::size_t backingOff = 0; ///< of these, in back-off after a failure
+    EngineId mostFailed;        ///< pending engine without an order that failed most often
+    int mostFailures = 0;       ///< consecutive failures of that engine
 };
 
 /// @brief The rollout of one model's weights. Pure: performs no I/O.
@@ -63,9 +63,9 @@
     static constexpr std::size_t MinLoading = 2;
     /// Fraction of the allowed time in which the rollout is to be complete.
     static constexpr double TimePart = 0.4;
-    /// From this fraction of the allowed time on, more orders than RolloutTerms::outPart may be in
-    /// progress if the remaining engines would otherwise miss the deadline. The last engines still
-    /// have to drain, which takes part of the time.
+    /// From this fraction of the allowed time on, more orders than RolloutTerms::orderedPart may be
+    /// in progress if the remaining engines would otherwise miss the deadline. The last engines
+    /// still have to drain, which takes part of the time.
     static constexpr double ExpediteFrom = 0.6;
     static constexpr double ExpediteFullFrom =
             0.85; ///< from this fraction on, all engines may be ordered
@@ -94,9 +94,9 @@
     [[nodiscard]] std::vector<EngineId> next(std::vector<RolloutEngine> engines,
                                              TimePoint now) const;
     /// @brief Reserves a slot for the engine while its state is queried before the order is sent.
-    void started(const EngineId &engine) { m_underOrder[engine] = {}; }
+    void started(const EngineId &engine) { m_orders[engine] = {}; }
     /// @brief Records that the order is being sent.
-    void ordered(const EngineId &engine, TimePoint now) { m_underOrder[engine].at = now; }
+    void ordered(const EngineId &engine, TimePoint now) { m_orders[engine].at = now; }
     /// @brief Records whether the engine is still draining. Until the first report it counts as
     /// loading.
     void sawRuns(const EngineId &engine, bool hasRuns);
@@ -104,12 +104,12 @@
     void ended(const EngineId &engine, bool succeeded, TimePoint now);
     [[nodiscard]] bool isUnderOrder(const EngineId &engine) const
     {
-        return m_underOrder.contains(engine);
+        return m_orders.contains(engine);
     }
     /// @brief Moving average of the time from sending an order until the new weights are loaded.
     [[nodiscard]] Duration orderTime() const { return m_orderTime; }
     /// @brief Discards all orders in progress: this node no longer sends orders.
-    void abandon() { m_underOrder.clear(); }
+    void abandon() { m_orders.clear(); }
 
 private:
     struct Order
@@ -137,7 +137,7 @@
     std::uint64_t m_goal = 0;
     TimePoint m_namedAt;
     Duration m_orderTime = InitialOrderTime;
-    std::map<EngineId, Order> m_underOrder;
+    std::map<EngineId, Order> m_orders;
     std::map<EngineId, Failures> m_failures;
 };
 
--- a/src/vanilladyke/app/mechanism_switches.cpp
+++ b/src/vanilladyke/app/mechanism_switches.cpp
@@ -62,7 +62,7 @@
         break;
     case Mechanism::PacedRollout:
         settings->control.rollout.loadingPart = 1;
-        settings->control.rollout.outPart = 1;
+        settings->control.rollout.orderedPart = 1;
         break;
     case Mechanism::Withdrawal:
         traffic.withdraws = false;
--- a/src/vanilladyke/app/node_settings.cpp
+++ b/src/vanilladyke/app/node_settings.cpp
@@ -52,7 +52,7 @@
 {
     reader.allowOnly({"loading_part", "out_part"});
     reader.number("loading_part", &terms->loadingPart, 0, 1);
-    reader.number("out_part", &terms->outPart, 0, 1);
+    reader.number("out_part", &terms->orderedPart, 0, 1);
 }
 
 /// Mechanisms that are switched off, by name; every unknown name is an error of its own.
--- a/src/vanilladyke/policy/weights_rollout.cpp
+++ b/src/vanilladyke/policy/weights_rollout.cpp
@@ -39,13 +39,13 @@
             continue;
         }
         ++progress.pending;
-        progress.underOrder += isUnderOrder(engine.id) ? 1 : 0;
-        progress.putOff += isBackingOff(engine.id, now) ? 1 : 0;
+        progress.ordered += isUnderOrder(engine.id) ? 1 : 0;
+        progress.backingOff += isBackingOff(engine.id, now) ? 1 : 0;
         const int failures = failuresOf(engine.id);
         if (!isUnderOrder(engine.id)
-            && (progress.first.empty() || failures > progress.firstFailures)) {
-            progress.first = engine.id;
-            progress.firstFailures = failures;
+            && (progress.mostFailed.empty() || failures > progress.mostFailures)) {
+            progress.mostFailed = engine.id;
+            progress.mostFailures = failures;
         }
     }
     return progress;
@@ -68,7 +68,7 @@
 {
     const double rounds = TimePart * secondsOf(m_terms.allowed) / secondsOf(m_orderTime);
     const double size = static_cast<double>(engines.size());
-    const double regular = std::min(size / rounds, m_terms.outPart * size);
+    const double regular = std::min(size / rounds, m_terms.orderedPart * size);
     const double slots = std::max(regular, std::min(expeditedOrders(engines, now), size));
     return std::max(maxLoadingEngines(engines.size()), static_cast<std::size_t>(std::ceil(slots)));
 }
@@ -90,7 +90,8 @@
     const double orderTime = secondsOf(m_orderTime);
     const double remaining = std::max(ExpediteDeadlinePart * allowed - elapsed - orderTime,
                                       secondsOf(ShortestOrder));
-    const double part = m_terms.outPart + std::min(expediteRatio, 1.0) * (1 - m_terms.outPart);
+    const double part =
+            m_terms.orderedPart + std::min(expediteRatio, 1.0) * (1 - m_terms.orderedPart);
     const double size = static_cast<double>(engines.size());
     return std::min(static_cast<double>(unordered) * orderTime / remaining, part * size);
 }
@@ -102,8 +103,8 @@
     std::size_t loading = 0;
     std::size_t underOrder = 0;
     for (const RolloutEngine &engine : engines) {
-        const auto order = m_underOrder.find(engine.id);
-        if (order != m_underOrder.end()) {
+        const auto order = m_orders.find(engine.id);
+        if (order != m_orders.end()) {
             ++underOrder;
             loading += order->second.isDraining ? 0 : 1;
         }
@@ -137,22 +138,22 @@
 
 void WeightsRollout::sawRuns(const EngineId &engine, bool hasRuns)
 {
-    const auto order = m_underOrder.find(engine);
-    if (order != m_underOrder.end()) {
+    const auto order = m_orders.find(engine);
+    if (order != m_orders.end()) {
         order->second.isDraining = hasRuns;
     }
 }
 
 void WeightsRollout::ended(const EngineId &engine, bool succeeded, TimePoint now)
 {
-    const auto order = m_underOrder.find(engine);
-    if (succeeded && order != m_underOrder.end() && order->second.at) {
+    const auto order = m_orders.find(engine);
+    if (succeeded && order != m_orders.end() && order->second.at) {
         constexpr double Weight = 0.3;
         const double took = secondsOf(now - *order->second.at);
         const double mean = secondsOf(m_orderTime) * (1 - Weight) + took * Weight;
         m_orderTime = std::clamp(spanOfSeconds(mean), ShortestOrder, m_terms.allowed);
     }
-    m_underOrder.erase(engine);
+    m_orders.erase(engine);
     if (succeeded) {
         m_failures.erase(engine);
         return;
