--- a/include/vanilladyke/policy/weights_rollout.hpp
+++ b/include/vanilladyke/policy/weights_rollout.hpp
@@ -82,30 +82,27 @@
     {}
 
     /// @brief Sets the target version. A version below the current target is ignored.
-    void name(std::uint64_t version, TimePoint now);
-    [[nodiscard]] std::uint64_t goal() const { return m_goal; }
+    void setTarget(std::uint64_t version, TimePoint now);
+    [[nodiscard]] std::uint64_t target() const { return m_target; }
     /// @brief Corrects the announcement time of the target version.
-    void date(TimePoint namedAt) { m_namedAt = namedAt; }
-    [[nodiscard]] TimePoint namedAt() const { return m_namedAt; }
+    void setAnnouncedAt(TimePoint announcedAt) { m_announcedAt = announcedAt; }
+    [[nodiscard]] TimePoint announcedAt() const { return m_announcedAt; }
     [[nodiscard]] bool isPending(const std::vector<RolloutEngine> &engines) const;
     [[nodiscard]] RolloutProgress progress(const std::vector<RolloutEngine> &engines,
                                            TimePoint now) const;
     /// @brief The engines to order now, the first to be ordered first.
-    [[nodiscard]] std::vector<EngineId> next(std::vector<RolloutEngine> engines,
-                                             TimePoint now) const;
+    [[nodiscard]] std::vector<EngineId> enginesToOrder(std::vector<RolloutEngine> engines,
+                                                       TimePoint now) const;
     /// @brief Reserves a slot for the engine while its state is queried before the order is sent.
-    void started(const EngineId &engine) { m_orders[engine] = {}; }
+    void reserve(const EngineId &engine) { m_orders[engine] = {}; }
     /// @brief Records that the order is being sent.
-    void ordered(const EngineId &engine, TimePoint now) { m_orders[engine].at = now; }
+    void orderSent(const EngineId &engine, TimePoint now) { m_orders[engine].at = now; }
     /// @brief Records whether the engine is still draining. Until the first report it counts as
     /// loading.
-    void sawRuns(const EngineId &engine, bool hasRuns);
+    void setDraining(const EngineId &engine, bool isDraining);
     /// @brief Records that the engine has the new weights, or that the order failed.
-    void ended(const EngineId &engine, bool succeeded, TimePoint now);
-    [[nodiscard]] bool isUnderOrder(const EngineId &engine) const
-    {
-        return m_orders.contains(engine);
-    }
+    void orderEnded(const EngineId &engine, bool succeeded, TimePoint now);
+    [[nodiscard]] bool hasOrder(const EngineId &engine) const { return m_orders.contains(engine); }
     /// @brief Moving average of the time from sending an order until the new weights are loaded.
     [[nodiscard]] Duration orderTime() const { return m_orderTime; }
     /// @brief Discards all orders in progress: this node no longer sends orders.
@@ -134,8 +131,8 @@
                                          TimePoint now) const;
 
     RolloutTerms m_terms;
-    std::uint64_t m_goal = 0;
-    TimePoint m_namedAt;
+    std::uint64_t m_target = 0;
+    TimePoint m_announcedAt;
     Duration m_orderTime = InitialOrderTime;
     std::map<EngineId, Order> m_orders;
     std::map<EngineId, Failures> m_failures;
--- a/src/vanilladyke/node/weights_controller.cpp
+++ b/src/vanilladyke/node/weights_controller.cpp
@@ -46,8 +46,8 @@
         }
     }
     for (const auto &[model, rollout] : m_rollouts) {
-        if (rollout.goal() > 0) {
-            news.weights.push_back({model, rollout.goal(), now - rollout.namedAt()});
+        if (rollout.target() > 0) {
+            news.weights.push_back({model, rollout.target(), now - rollout.announcedAt()});
         }
     }
     return news;
@@ -56,10 +56,10 @@
 void WeightsController::weightsNamed(const ModelId &model, std::uint64_t version, TimePoint now)
 {
     WeightsRollout &rollout = rolloutOf(model);
-    if (version > rollout.goal()) {
+    if (version > rollout.target()) {
         LogEvent("weights_named").field("model", model.str()).field("version", version);
     }
-    rollout.name(version, now);
+    rollout.setTarget(version, now);
 }
 
 WeightsRollout &WeightsController::rolloutOf(const ModelId &model)
@@ -92,7 +92,7 @@
         const ModelId &model = item.first;
         const WeightsRollout &rollout = item.second;
         return m_roster.anyServing([&](const BackendEntry &entry) {
-            return entry.weights.contains(model) && versionOf(entry, model) < rollout.goal();
+            return entry.weights.contains(model) && versionOf(entry, model) < rollout.target();
         });
     });
 }
@@ -171,8 +171,8 @@
         }
         LogEvent("rollout")
                 .field("model", model.str())
-                .field("version", rollout.goal())
-                .field("age_ms", now - rollout.namedAt())
+                .field("version", rollout.target())
+                .field("age_ms", now - rollout.announcedAt())
                 .field("pending", progress.pending)
                 .field("under_order", progress.ordered)
                 .field("put_off", progress.backingOff)
@@ -268,9 +268,9 @@
     m_loads.clear();
     for (const WeightsAge &each : state.last->news.weights) {
         const auto rollout = m_rollouts.find(each.model);
-        if (rollout != m_rollouts.end() && rollout->second.goal() == each.version
-            && rollout->second.namedAt() > m_clock() - each.age) {
-            rollout->second.date(m_clock() - each.age);
+        if (rollout != m_rollouts.end() && rollout->second.target() == each.version
+            && rollout->second.announcedAt() > m_clock() - each.age) {
+            rollout->second.setAnnouncedAt(m_clock() - each.age);
             m_news.aged(each);
         }
     }
@@ -279,12 +279,12 @@
 void WeightsController::startLoads(TimePoint now)
 {
     for (auto &[model, rollout] : m_rollouts) {
-        for (const EngineId &id : rollout.next(enginesOf(model), now)) {
+        for (const EngineId &id : rollout.enginesToOrder(enginesOf(model), now)) {
             if (m_loads.contains(id) || m_lease.isResting(id, now)) {
                 continue;
             }
-            rollout.started(id);
-            m_loads[id] = Load{model, rollout.goal(), now, now, false, false, 0, {}};
+            rollout.reserve(id);
+            m_loads[id] = Load{model, rollout.target(), now, now, false, false, 0, {}};
         }
     }
 }
@@ -341,7 +341,7 @@
         return;
     }
     if (report->isBusy) {
-        rolloutOf(load.model).sawRuns(id, report->running > 0);
+        rolloutOf(load.model).setDraining(id, report->running > 0);
         announce(id, load, Duration::zero());
         return;
     }
@@ -384,8 +384,8 @@
     // Weights that were named meanwhile: an order of older ones would have to be followed by
     // another, and every answer until then would be on weights that were replaced.
     WeightsRollout &rollout = rolloutOf(load.model);
-    load.version = rollout.goal();
-    rollout.ordered(engine.id, m_clock());
+    load.version = rollout.target();
+    rollout.orderSent(engine.id, m_clock());
     announce(engine.id, load, rollout.orderTime());
     m_orderedAt[engine.id] = m_clock();
     ++m_openOrders;
@@ -446,7 +446,7 @@
             .field("version", found->second.version)
             .field("succeeded", succeeded)
             .field("took_ms", m_clock() - found->second.startedAt);
-    rolloutOf(found->second.model).ended(id, succeeded, m_clock());
+    rolloutOf(found->second.model).orderEnded(id, succeeded, m_clock());
     m_loads.erase(found);
 }
 
--- a/src/vanilladyke/policy/weights_rollout.cpp
+++ b/src/vanilladyke/policy/weights_rollout.cpp
@@ -13,11 +13,11 @@
 
 } // namespace
 
-void WeightsRollout::name(std::uint64_t version, TimePoint now)
+void WeightsRollout::setTarget(std::uint64_t version, TimePoint now)
 {
-    if (version > m_goal) {
-        m_goal = version;
-        m_namedAt = now;
+    if (version > m_target) {
+        m_target = version;
+        m_announcedAt = now;
         for (auto &[engine, failures] : m_failures) {
             failures.retryAt = now;
         }
@@ -27,7 +27,7 @@
 bool WeightsRollout::isPending(const std::vector<RolloutEngine> &engines) const
 {
     return std::any_of(engines.begin(), engines.end(),
-                       [this](const RolloutEngine &e) { return e.version < m_goal; });
+                       [this](const RolloutEngine &e) { return e.version < m_target; });
 }
 
 RolloutProgress WeightsRollout::progress(const std::vector<RolloutEngine> &engines,
@@ -35,14 +35,14 @@
 {
     RolloutProgress progress;
     for (const RolloutEngine &engine : engines) {
-        if (engine.version >= m_goal) {
+        if (engine.version >= m_target) {
             continue;
         }
         ++progress.pending;
-        progress.ordered += isUnderOrder(engine.id) ? 1 : 0;
+        progress.ordered += hasOrder(engine.id) ? 1 : 0;
         progress.backingOff += isBackingOff(engine.id, now) ? 1 : 0;
         const int failures = failuresOf(engine.id);
-        if (!isUnderOrder(engine.id)
+        if (!hasOrder(engine.id)
             && (progress.mostFailed.empty() || failures > progress.mostFailures)) {
             progress.mostFailed = engine.id;
             progress.mostFailures = failures;
@@ -77,7 +77,7 @@
                                        TimePoint now) const
 {
     const double allowed = secondsOf(m_terms.allowed);
-    const double elapsed = secondsOf(now - m_namedAt);
+    const double elapsed = secondsOf(now - m_announcedAt);
     const double expediteRatio =
             (elapsed / allowed - ExpediteFrom) / (ExpediteFullFrom - ExpediteFrom);
     if (expediteRatio <= 0) {
@@ -85,7 +85,7 @@
     }
     const auto unordered =
             std::count_if(engines.begin(), engines.end(), [this](const auto &engine) {
-                return engine.version < m_goal && !isUnderOrder(engine.id);
+                return engine.version < m_target && !hasOrder(engine.id);
             });
     const double orderTime = secondsOf(m_orderTime);
     const double remaining = std::max(ExpediteDeadlinePart * allowed - elapsed - orderTime,
@@ -96,7 +96,8 @@
     return std::min(static_cast<double>(unordered) * orderTime / remaining, part * size);
 }
 
-std::vector<EngineId> WeightsRollout::next(std::vector<RolloutEngine> engines, TimePoint now) const
+std::vector<EngineId> WeightsRollout::enginesToOrder(std::vector<RolloutEngine> engines,
+                                                     TimePoint now) const
 {
     const std::size_t maxLoading = maxLoadingEngines(engines.size());
     const std::size_t maxInProgress = maxOrders(engines, now);
@@ -110,7 +111,7 @@
         }
     }
     std::erase_if(engines, [&](const RolloutEngine &engine) {
-        return engine.version >= m_goal || isUnderOrder(engine.id) || isBackingOff(engine.id, now);
+        return engine.version >= m_target || hasOrder(engine.id) || isBackingOff(engine.id, now);
     });
     std::stable_sort(engines.begin(), engines.end(),
                      [this](const RolloutEngine &a, const RolloutEngine &b) {
@@ -136,15 +137,15 @@
     return found == m_failures.end() ? 0 : found->second.consecutive;
 }
 
-void WeightsRollout::sawRuns(const EngineId &engine, bool hasRuns)
+void WeightsRollout::setDraining(const EngineId &engine, bool isDraining)
 {
     const auto order = m_orders.find(engine);
     if (order != m_orders.end()) {
-        order->second.isDraining = hasRuns;
+        order->second.isDraining = isDraining;
     }
 }
 
-void WeightsRollout::ended(const EngineId &engine, bool succeeded, TimePoint now)
+void WeightsRollout::orderEnded(const EngineId &engine, bool succeeded, TimePoint now)
 {
     const auto order = m_orders.find(engine);
     if (succeeded && order != m_orders.end() && order->second.at) {
--- a/src/vanilladyke/policy/weights_rollout_test.cpp
+++ b/src/vanilladyke/policy/weights_rollout_test.cpp
@@ -29,17 +29,17 @@
 TEST(WeightsRollout, OnlyAFractionOfTheFleetLoadsAtOnce)
 {
     WeightsRollout rollout;
-    rollout.name(2, at(0));
+    rollout.setTarget(2, at(0));
     auto engines = fleet(18, 1);
-    const auto first = rollout.next(engines, at(0));
+    const auto first = rollout.enginesToOrder(engines, at(0));
     ASSERT_EQ(first.size(), 3U);
     for (const EngineId &id : first) {
-        rollout.started(id);
+        rollout.reserve(id);
     }
-    EXPECT_TRUE(rollout.next(engines, at(100)).empty());
-    rollout.ended(first[0], true, at(2000));
+    EXPECT_TRUE(rollout.enginesToOrder(engines, at(100)).empty());
+    rollout.orderEnded(first[0], true, at(2000));
     engines[0].version = 2;
-    const auto next = rollout.next(engines, at(2000));
+    const auto next = rollout.enginesToOrder(engines, at(2000));
     ASSERT_EQ(next.size(), 1U);
     EXPECT_EQ(next[0], EngineId("e3"));
 }
@@ -50,14 +50,14 @@
 TEST(WeightsRollout, DrainingEnginesDoNotKeepOthersFromLoading)
 {
     WeightsRollout rollout({milliseconds(8000)});
-    rollout.name(2, at(0));
+    rollout.setTarget(2, at(0));
     auto engines = fleet(9, 1);
     std::map<EngineId, int> orderedAt;
     int end = 0;
     for (int now = 0; now < 8000 && rollout.isPending(engines); now += 50) {
-        for (const EngineId &id : rollout.next(engines, at(now))) {
-            rollout.started(id);
-            rollout.ordered(id, at(now));
+        for (const EngineId &id : rollout.enginesToOrder(engines, at(now))) {
+            rollout.reserve(id);
+            rollout.orderSent(id, at(now));
             orderedAt[id] = now;
         }
         EXPECT_LE(orderedAt.size(), 4U) << now;
@@ -66,10 +66,10 @@
             if (order == orderedAt.end()) {
                 continue;
             }
-            rollout.sawRuns(engine.id, now - order->second < 1400);
+            rollout.setDraining(engine.id, now - order->second < 1400);
             if (now - order->second >= 1800) {
                 engine.version = 2;
-                rollout.ended(engine.id, true, at(now));
+                rollout.orderEnded(engine.id, true, at(now));
                 orderedAt.erase(order);
                 end = now;
             }
@@ -84,40 +84,41 @@
 TEST(WeightsRollout, LoadingEnginesAreLimitedToAFractionOfTheFleet)
 {
     WeightsRollout rollout({milliseconds(15000)});
-    rollout.name(2, at(0));
+    rollout.setTarget(2, at(0));
     const auto engines = fleet(18, 1);
-    for (const EngineId &id : rollout.next(engines, at(0))) {
-        rollout.started(id);
-        rollout.sawRuns(id, false);
+    for (const EngineId &id : rollout.enginesToOrder(engines, at(0))) {
+        rollout.reserve(id);
+        rollout.setDraining(id, false);
     }
-    EXPECT_TRUE(rollout.next(engines, at(1000)).empty());
+    EXPECT_TRUE(rollout.enginesToOrder(engines, at(1000)).empty());
 }
 
 TEST(WeightsRollout, EnginesOnTheOldestWeightsAreOrderedFirst)
 {
     WeightsRollout rollout;
-    rollout.name(3, at(0));
+    rollout.setTarget(3, at(0));
     auto engines = fleet(3, 2);
     engines[2].version = 1;
-    EXPECT_EQ(rollout.next(engines, at(0)).front(), EngineId("e2"));
+    EXPECT_EQ(rollout.enginesToOrder(engines, at(0)).front(), EngineId("e2"));
 }
 
 // Guards against a crashed engine that fails every order and occupies a slot that others need.
 TEST(WeightsRollout, AnEngineThatFailedItsOrderIsRetriedBehindTheOthers)
 {
     WeightsRollout rollout;
-    rollout.name(2, at(0));
+    rollout.setTarget(2, at(0));
     const auto engines = fleet(4, 1);
-    const auto first = rollout.next(engines, at(0));
+    const auto first = rollout.enginesToOrder(engines, at(0));
     ASSERT_EQ(first.size(), 2U);
-    rollout.started(first[0]);
-    rollout.ended(first[0], false, at(10));
-    const auto next = rollout.next(engines, at(20));
+    rollout.reserve(first[0]);
+    rollout.orderEnded(first[0], false, at(10));
+    const auto next = rollout.enginesToOrder(engines, at(20));
     ASSERT_EQ(next.size(), 2U);
     EXPECT_EQ(next[0], EngineId("e1"));
-    EXPECT_EQ(rollout.next(engines, at(500)).front(), EngineId("e1"));
-    EXPECT_EQ(rollout.next({engines[0]}, at(300)).size(), 0U) << "it is still in back-off";
-    EXPECT_EQ(rollout.next({engines[0]}, at(500)).front(), EngineId("e0"));
+    EXPECT_EQ(rollout.enginesToOrder(engines, at(500)).front(), EngineId("e1"));
+    EXPECT_EQ(rollout.enginesToOrder({engines[0]}, at(300)).size(), 0U)
+            << "it is still in back-off";
+    EXPECT_EQ(rollout.enginesToOrder({engines[0]}, at(500)).front(), EngineId("e0"));
 }
 
 // Guards against engines that failed one order and are then passed over for each newer version, so
@@ -134,11 +135,11 @@
     std::map<EngineId, int> orderedAt;
     for (int now = 0; now < 22000; now += 50) {
         if (now % AnnounceInterval == 0) {
-            rollout.name(static_cast<std::uint64_t>(now) / AnnounceInterval + 2, at(now));
+            rollout.setTarget(static_cast<std::uint64_t>(now) / AnnounceInterval + 2, at(now));
         }
-        for (const EngineId &id : rollout.next(engines, at(now))) {
-            rollout.started(id);
-            rollout.ordered(id, at(now));
+        for (const EngineId &id : rollout.enginesToOrder(engines, at(now))) {
+            rollout.reserve(id);
+            rollout.orderSent(id, at(now));
             orderedAt[id] = now;
         }
         for (std::size_t i = 0; i < engines.size(); ++i) {
@@ -147,10 +148,11 @@
                 continue;
             }
             const bool isLost = i < Unreachable && order->second < ReachableFrom;
-            rollout.sawRuns(order->first, !isLost && now - order->second < OrderDurationMs - 400);
+            rollout.setDraining(order->first,
+                                !isLost && now - order->second < OrderDurationMs - 400);
             if (now - order->second >= (isLost ? TimeoutMs : OrderDurationMs)) {
-                engines[i].version = isLost ? engines[i].version : rollout.goal();
-                rollout.ended(order->first, !isLost, at(now));
+                engines[i].version = isLost ? engines[i].version : rollout.target();
+                rollout.orderEnded(order->first, !isLost, at(now));
                 orderedAt.erase(order);
             }
         }
@@ -169,7 +171,7 @@
     /// Time from the newer announcement until all engines have it.
     constexpr int AllowedForAll = 14000;
     WeightsRollout rollout({milliseconds(Allowed)});
-    rollout.name(2, at(0));
+    rollout.setTarget(2, at(0));
     auto engines = fleet(60, 1);
     struct Order
     {
@@ -179,12 +181,12 @@
     std::map<EngineId, Order> orders;
     for (int now = 0; now < NewestAt + AllowedForAll; now += 50) {
         if (now == NewestAt) {
-            rollout.name(3, at(now));
+            rollout.setTarget(3, at(now));
         }
-        for (const EngineId &id : rollout.next(engines, at(now))) {
-            rollout.started(id);
-            rollout.ordered(id, at(now));
-            orders[id] = {now, rollout.goal()};
+        for (const EngineId &id : rollout.enginesToOrder(engines, at(now))) {
+            rollout.reserve(id);
+            rollout.orderSent(id, at(now));
+            orders[id] = {now, rollout.target()};
         }
         for (std::size_t i = 0; i < engines.size(); ++i) {
             const auto order = orders.find(engines[i].id);
@@ -193,10 +195,10 @@
             }
             const int takes = 3000 + static_cast<int>(i * 37 % 20) * 100;
             const int passed = now - order->second.at;
-            rollout.sawRuns(order->first, passed < takes - 430);
+            rollout.setDraining(order->first, passed < takes - 430);
             if (passed >= takes) {
                 engines[i].version = order->second.version;
-                rollout.ended(order->first, true, at(now));
+                rollout.orderEnded(order->first, true, at(now));
                 orders.erase(order);
             }
         }
@@ -207,9 +209,9 @@
 TEST(WeightsRollout, TheTargetVersionNeverDecreases)
 {
     WeightsRollout rollout;
-    rollout.name(3, at(0));
-    rollout.name(2, at(10));
-    EXPECT_EQ(rollout.goal(), 3U);
+    rollout.setTarget(3, at(0));
+    rollout.setTarget(2, at(10));
+    EXPECT_EQ(rollout.target(), 3U);
     EXPECT_FALSE(rollout.isPending(fleet(2, 3)));
     EXPECT_TRUE(rollout.isPending(fleet(2, 2)));
 }
