--- a/include/vanilladyke/node/weights_controller.hpp
+++ b/include/vanilladyke/node/weights_controller.hpp
@@ -94,7 +94,7 @@
     /// Whether this node's turn to claim has come, and it has seen what those before it did.
     [[nodiscard]] bool mayClaim(TimePoint now);
     void sawLease(const LeaseLogState &state);
-    [[nodiscard]] LeaseNews leaseNews(TimePoint now) const;
+    [[nodiscard]] LeaseUpdate leaseNews(TimePoint now) const;
     void startLoads(TimePoint now);
     void stepLoad(const EngineId &id, Load &load, TimePoint now);
     void reported(const EngineId &id, const std::optional<EngineReport> &report);
--- a/include/vanilladyke/policy/order_lease.hpp
+++ b/include/vanilladyke/policy/order_lease.hpp
@@ -38,12 +38,12 @@
 };
 
 /// @brief State that a holder writes with each of its records.
-struct LeaseNews
+struct LeaseUpdate
 {
     std::vector<EngineId> ordered;   ///< engines that were sent an order within the gap
     std::vector<WeightsAge> weights; ///< for nodes that started after the announcement
 
-    bool operator==(const LeaseNews &) const = default;
+    bool operator==(const LeaseUpdate &) const = default;
 };
 
 /// @brief A record of the lease's log.
@@ -53,7 +53,7 @@
     std::uint64_t incarnation = 0;
     std::uint64_t attempt = 0; ///< distinguishes the appends of one incarnation
     bool isRelease = false;    ///< the holder sends no more orders
-    LeaseNews news;
+    LeaseUpdate update;
 
     bool operator==(const LeaseRecord &) const = default;
 };
@@ -88,9 +88,9 @@
     /// @param wantsToOrder claims or renews the lease; if false, a held lease is released, and no
     /// order may be in progress
     /// @param claimDelay added before a claim, so that nodes don't claim at the same time
-    /// @param news written with the record
+    /// @param update written with the record
     [[nodiscard]] std::optional<LeaseAppend> nextAppend(bool wantsToOrder, Duration claimDelay,
-                                                        const LeaseNews &news, TimePoint now);
+                                                        const LeaseUpdate &update, TimePoint now);
     /// @brief Whether a former holder may have sent the engine an order within the gap.
     [[nodiscard]] bool isResting(const EngineId &engine, TimePoint now) const;
     /// @brief The last record that was read or appended.
--- a/src/vanilladyke/node/weights_controller.cpp
+++ b/src/vanilladyke/node/weights_controller.cpp
@@ -37,9 +37,9 @@
     m_stopping = true;
 }
 
-LeaseNews WeightsController::leaseNews(TimePoint now) const
+LeaseUpdate WeightsController::leaseNews(TimePoint now) const
 {
-    LeaseNews news;
+    LeaseUpdate news;
     for (const auto &[engine, at] : m_orderedAt) {
         if (now - at < m_gap) {
             news.ordered.push_back(engine);
@@ -266,7 +266,7 @@
         rollout.abandon();
     }
     m_loads.clear();
-    for (const WeightsAge &each : state.last->news.weights) {
+    for (const WeightsAge &each : state.last->update.weights) {
         const auto rollout = m_rollouts.find(each.model);
         if (rollout != m_rollouts.end() && rollout->second.target() == each.version
             && rollout->second.announcedAt() > m_clock() - each.age) {
--- a/src/vanilladyke/policy/order_lease.cpp
+++ b/src/vanilladyke/policy/order_lease.cpp
@@ -28,7 +28,7 @@
     }
     m_uncertainAppend.reset();
     if (last && last->isRelease && last->holder != m_self) {
-        m_recentlyOrdered = last->news.ordered;
+        m_recentlyOrdered = last->update.ordered;
         m_handoverUntil = m_lastSeenAt + m_terms.gap + m_terms.margin;
     }
     if (last && (last->holder != m_self || last->incarnation != m_incarnation)) {
@@ -37,7 +37,7 @@
 }
 
 std::optional<LeaseAppend> OrderLease::nextAppend(bool wantsToOrder, Duration claimDelay,
-                                                  const LeaseNews &news, TimePoint now)
+                                                  const LeaseUpdate &update, TimePoint now)
 {
     if (!m_isLogCurrent || m_pendingAppend) {
         return std::nullopt;
@@ -55,7 +55,8 @@
     if (!isOurs && !mayClaim) {
         return std::nullopt;
     }
-    m_pendingAppend = LeaseAppend{m_end, {m_self, m_incarnation, ++m_attempt, !wantsToOrder, news}};
+    m_pendingAppend =
+            LeaseAppend{m_end, {m_self, m_incarnation, ++m_attempt, !wantsToOrder, update}};
     m_sentAt = now;
     if (!wantsToOrder) {
         m_holdsUntil.reset();
--- a/src/vanilladyke/policy/order_lease_test.cpp
+++ b/src/vanilladyke/policy/order_lease_test.cpp
@@ -53,7 +53,7 @@
 {
     OrderLease lease("b", 1);
     LeaseRecord last = record("a", 4, true);
-    last.news.ordered = {EngineId("e")};
+    last.update.ordered = {EngineId("e")};
     lease.sawLog(5, last, at(0));
     ASSERT_TRUE(lease.nextAppend(true, milliseconds(0), {}, at(10)));
     lease.appended(6, at(15));
