--- a/include/vanilladyke/policy/order_lease.hpp
+++ b/include/vanilladyke/policy/order_lease.hpp
@@ -83,22 +83,22 @@
     /// @brief Takes the result of a read of the log.
     /// @param end offset after the last record
     /// @param last that record; none if the log is empty
-    void sawLog(std::uint64_t end, const std::optional<LeaseRecord> &last, TimePoint now);
+    void logRead(std::uint64_t end, const std::optional<LeaseRecord> &last, TimePoint now);
     /// @brief The append to send now; none if there is nothing to append or one is in progress.
-    /// @param wantsToOrder claims or renews the lease; if false, a held lease is released, and no
+    /// @param needsLease claims or renews the lease; if false, a held lease is released, and no
     /// order may be in progress
     /// @param claimDelay added before a claim, so that nodes don't claim at the same time
     /// @param update written with the record
-    [[nodiscard]] std::optional<LeaseAppend> nextAppend(bool wantsToOrder, Duration claimDelay,
+    [[nodiscard]] std::optional<LeaseAppend> nextAppend(bool needsLease, Duration claimDelay,
                                                         const LeaseUpdate &update, TimePoint now);
     /// @brief Whether a former holder may have sent the engine an order within the gap.
-    [[nodiscard]] bool isResting(const EngineId &engine, TimePoint now) const;
+    [[nodiscard]] bool isInHandoverGap(const EngineId &engine, TimePoint now) const;
     /// @brief The last record that was read or appended.
     [[nodiscard]] const std::optional<LeaseRecord> &last() const { return m_last; }
     /// @brief The log acknowledged the append in progress.
     void appended(std::uint64_t end, TimePoint now);
     /// @brief The append failed or its outcome is unknown: the log has to be read again.
-    void appendInDoubt();
+    void appendUnresolved();
 
     /// @brief Whether this node holds the lease and may send an order at @p now.
     [[nodiscard]] bool mayOrder(TimePoint now) const { return m_holdsUntil && now < *m_holdsUntil; }
--- a/src/vanilladyke/node/weights_controller.cpp
+++ b/src/vanilladyke/node/weights_controller.cpp
@@ -201,7 +201,7 @@
                 return;
             }
             LogEvent("lease_append_failed").field("known", end == AppendEnd::Refused);
-            m_lease.appendInDoubt();
+            m_lease.appendUnresolved();
         });
         return;
     }
@@ -258,7 +258,7 @@
 
 void WeightsController::sawLease(const LeaseLogState &state)
 {
-    m_lease.sawLog(state.end, state.last, m_clock());
+    m_lease.logRead(state.end, state.last, m_clock());
     if (!state.last || state.last->holder == m_self) {
         return;
     }
@@ -280,7 +280,7 @@
 {
     for (auto &[model, rollout] : m_rollouts) {
         for (const EngineId &id : rollout.enginesToOrder(enginesOf(model), now)) {
-            if (m_loads.contains(id) || m_lease.isResting(id, now)) {
+            if (m_loads.contains(id) || m_lease.isInHandoverGap(id, now)) {
                 continue;
             }
             rollout.reserve(id);
--- a/src/vanilladyke/policy/order_lease.cpp
+++ b/src/vanilladyke/policy/order_lease.cpp
@@ -10,7 +10,7 @@
     , m_terms(terms)
 {}
 
-void OrderLease::sawLog(std::uint64_t end, const std::optional<LeaseRecord> &last, TimePoint now)
+void OrderLease::logRead(std::uint64_t end, const std::optional<LeaseRecord> &last, TimePoint now)
 {
     if (m_pendingAppend) {
         return;
@@ -36,17 +36,17 @@
     }
 }
 
-std::optional<LeaseAppend> OrderLease::nextAppend(bool wantsToOrder, Duration claimDelay,
+std::optional<LeaseAppend> OrderLease::nextAppend(bool needsLease, Duration claimDelay,
                                                   const LeaseUpdate &update, TimePoint now)
 {
     if (!m_isLogCurrent || m_pendingAppend) {
         return std::nullopt;
     }
     const bool isOurs = m_last && m_last->holder == m_self;
-    if (!wantsToOrder && (!isOurs || m_last->isRelease || m_last->incarnation != m_incarnation)) {
+    if (!needsLease && (!isOurs || m_last->isRelease || m_last->incarnation != m_incarnation)) {
         return std::nullopt;
     }
-    if (wantsToOrder && mayOrder(now) && now - m_sentAt < m_terms.renewAfter) {
+    if (needsLease && mayOrder(now) && now - m_sentAt < m_terms.renewAfter) {
         return std::nullopt;
     }
     const Duration timeout = m_terms.validity + m_terms.gap + m_terms.margin + claimDelay;
@@ -55,10 +55,9 @@
     if (!isOurs && !mayClaim) {
         return std::nullopt;
     }
-    m_pendingAppend =
-            LeaseAppend{m_end, {m_self, m_incarnation, ++m_attempt, !wantsToOrder, update}};
+    m_pendingAppend = LeaseAppend{m_end, {m_self, m_incarnation, ++m_attempt, !needsLease, update}};
     m_sentAt = now;
-    if (!wantsToOrder) {
+    if (!needsLease) {
         m_holdsUntil.reset();
     }
     return m_pendingAppend;
@@ -79,14 +78,14 @@
     }
 }
 
-bool OrderLease::isResting(const EngineId &engine, TimePoint now) const
+bool OrderLease::isInHandoverGap(const EngineId &engine, TimePoint now) const
 {
     return now < m_handoverUntil
            && std::find(m_recentlyOrdered.begin(), m_recentlyOrdered.end(), engine)
                       != m_recentlyOrdered.end();
 }
 
-void OrderLease::appendInDoubt()
+void OrderLease::appendUnresolved()
 {
     m_uncertainAppend = m_pendingAppend;
     m_pendingAppend.reset();
--- a/src/vanilladyke/policy/order_lease_test.cpp
+++ b/src/vanilladyke/policy/order_lease_test.cpp
@@ -27,7 +27,7 @@
 {
     OrderLease lease("a", 1);
     EXPECT_FALSE(lease.nextAppend(true, milliseconds(100), {}, at(0))) << "the log was not read";
-    lease.sawLog(0, std::nullopt, at(0));
+    lease.logRead(0, std::nullopt, at(0));
     EXPECT_FALSE(lease.nextAppend(true, milliseconds(100), {}, at(50)));
     const auto append = lease.nextAppend(true, milliseconds(100), {}, at(100));
     ASSERT_TRUE(append);
@@ -44,7 +44,7 @@
 TEST(OrderLease, ANodeWaitsUntilAnUnresponsiveHolderMayNoLongerOrder)
 {
     OrderLease lease("b", 1);
-    lease.sawLog(3, record("a", 1), at(0));
+    lease.logRead(3, record("a", 1), at(0));
     EXPECT_FALSE(lease.nextAppend(true, milliseconds(0), {}, at(5000)));
     EXPECT_TRUE(lease.nextAppend(true, milliseconds(0), {}, at(5100)));
 }
@@ -54,19 +54,19 @@
     OrderLease lease("b", 1);
     LeaseRecord last = record("a", 4, true);
     last.update.ordered = {EngineId("e")};
-    lease.sawLog(5, last, at(0));
+    lease.logRead(5, last, at(0));
     ASSERT_TRUE(lease.nextAppend(true, milliseconds(0), {}, at(10)));
     lease.appended(6, at(15));
     EXPECT_TRUE(lease.mayOrder(at(20)));
-    EXPECT_TRUE(lease.isResting(EngineId("e"), at(3000)));
-    EXPECT_FALSE(lease.isResting(EngineId("f"), at(20)));
-    EXPECT_FALSE(lease.isResting(EngineId("e"), at(3700)));
+    EXPECT_TRUE(lease.isInHandoverGap(EngineId("e"), at(3000)));
+    EXPECT_FALSE(lease.isInHandoverGap(EngineId("f"), at(20)));
+    EXPECT_FALSE(lease.isInHandoverGap(EngineId("e"), at(3700)));
 }
 
 TEST(OrderLease, ARestartedHolderRenewsAtOnce)
 {
     OrderLease lease("a", 2);
-    lease.sawLog(3, record("a", 9), at(0));
+    lease.logRead(3, record("a", 9), at(0));
     EXPECT_TRUE(lease.nextAppend(true, milliseconds(0), {}, at(1)));
 }
 
@@ -75,13 +75,13 @@
 TEST(OrderLease, AnAppendOfUnknownOutcomeIsResolvedByReadingTheLog)
 {
     OrderLease lease("a", 1);
-    lease.sawLog(0, std::nullopt, at(0));
+    lease.logRead(0, std::nullopt, at(0));
     const auto append = lease.nextAppend(true, milliseconds(0), {}, at(0));
     ASSERT_TRUE(append);
-    lease.appendInDoubt();
+    lease.appendUnresolved();
     EXPECT_FALSE(lease.mayOrder(at(10)));
     EXPECT_TRUE(lease.needsRead());
-    lease.sawLog(1, append->record, at(20));
+    lease.logRead(1, append->record, at(20));
     EXPECT_TRUE(lease.mayOrder(at(30)));
     EXPECT_EQ(lease.fence(), 1U);
 }
@@ -158,7 +158,7 @@
             node.pausedUntil = m_now + milliseconds(uniformBelow(m_random, 9000));
             return;
         }
-        if (node.lease.mayOrder(m_now) && !node.lease.isResting(theEngine, m_now)) {
+        if (node.lease.mayOrder(m_now) && !node.lease.isInHandoverGap(theEngine, m_now)) {
             order(node);
         }
         if (m_now < m_storeDownUntil) {
@@ -169,8 +169,8 @@
                     node.lease.nextAppend(wants, milliseconds(0), {{theEngine}, {}}, m_now)) {
             exchange(node, *append);
         } else if (node.lease.needsRead() || !node.lease.mayOrder(m_now)) {
-            node.lease.sawLog(m_log.size(),
-                              m_log.empty() ? std::nullopt : std::optional(m_log.back()), m_now);
+            node.lease.logRead(m_log.size(),
+                               m_log.empty() ? std::nullopt : std::optional(m_log.back()), m_now);
         }
     }
 
@@ -179,15 +179,15 @@
         const double outcome = uniform(m_random);
         if (outcome < 0.1) { // the answer is lost
             take(append);
-            node.lease.appendInDoubt();
+            node.lease.appendUnresolved();
         } else if (outcome < 0.2) { // takes effect later
             m_late.push_back({append, m_now + milliseconds(uniformBelow(m_random, 6000))});
-            node.lease.appendInDoubt();
+            node.lease.appendUnresolved();
         } else if (take(append)) {
             m_now += milliseconds(uniformBelow(m_random, 400));
             node.lease.appended(m_log.size(), m_now);
         } else {
-            node.lease.appendInDoubt();
+            node.lease.appendUnresolved();
         }
     }
 
