--- a/include/vanilladyke/node/weights_controller.hpp
+++ b/include/vanilladyke/node/weights_controller.hpp
@@ -4,7 +4,7 @@
 #include "vanilladyke/node/ports.hpp"
 #include "vanilladyke/node/store_calls.hpp"
 #include "vanilladyke/policy/backend_roster.hpp"
-#include "vanilladyke/policy/lease_reach.hpp"
+#include "vanilladyke/policy/engine_reachability.hpp"
 #include "vanilladyke/policy/weights_rollout.hpp"
 
 #include <set>
@@ -131,7 +131,7 @@
     bool m_hasLooked = false;              ///< at the lease's log since then
     bool m_isReading = false;
     TimePoint m_readAt;
-    LeaseReach m_reach;
+    EngineReachability m_reach;
     std::size_t m_otherNodes = 0;
     TimePoint m_loggedAt;
 };
--- a/include/vanilladyke/policy/lease_reach.hpp
+++ b/include/vanilladyke/policy/engine_reachability.hpp
@@ -14,7 +14,7 @@
 
 /// @brief Whether the engines to which a node sends orders answer its queries. Pure: performs no
 /// I/O.
-class LeaseReach
+class EngineReachability
 {
 public:
     /// Fewer unanswered queries may be due to engines that are down.
--- a/src/vanilladyke/policy/lease_reach.cpp
+++ b/src/vanilladyke/policy/engine_reachability.cpp
@@ -1,10 +1,10 @@
-#include "vanilladyke/policy/lease_reach.hpp"
+#include "vanilladyke/policy/engine_reachability.hpp"
 
 #include <algorithm>
 
 namespace vanilladyke {
 
-void LeaseReach::record(const EngineId &engine, bool hasAnswered, TimePoint now)
+void EngineReachability::record(const EngineId &engine, bool hasAnswered, TimePoint now)
 {
     const bool wasMajorityUnresponsive = isMajorityUnresponsive();
     m_hasAnswered[engine] = hasAnswered;
@@ -13,14 +13,14 @@
     }
 }
 
-void LeaseReach::answered(const EngineId &engine, TimePoint now)
+void EngineReachability::answered(const EngineId &engine, TimePoint now)
 {
     record(engine, true, now);
     m_failures = 0;
     m_unansweredSince = now;
 }
 
-void LeaseReach::failed(const EngineId &engine, TimePoint now)
+void EngineReachability::failed(const EngineId &engine, TimePoint now)
 {
     record(engine, false, now);
     // The first query may have been sent long after the last answer; that time must not count.
@@ -29,7 +29,7 @@
     }
 }
 
-bool LeaseReach::isMajorityUnresponsive() const
+bool EngineReachability::isMajorityUnresponsive() const
 {
     const auto unresponsive = std::count_if(m_hasAnswered.begin(), m_hasAnswered.end(),
                                             [](const auto &item) { return !item.second; });
@@ -37,7 +37,7 @@
     return unresponsive >= LeastFailures && 2 * unresponsive > size;
 }
 
-bool LeaseReach::isLost(TimePoint now) const
+bool EngineReachability::isLost(TimePoint now) const
 {
     const bool areAllUnresponsive =
             m_failures >= LeastFailures && now - m_unansweredSince >= LongestSilence;
@@ -45,13 +45,13 @@
            || (isMajorityUnresponsive() && now - m_majorityUnresponsiveSince >= LongestSilence);
 }
 
-void LeaseReach::handedOn(TimePoint now)
+void EngineReachability::handedOn(TimePoint now)
 {
     m_pausesUntil = now + Pause;
     forget();
 }
 
-void LeaseReach::forget()
+void EngineReachability::forget()
 {
     m_failures = 0;
     m_hasAnswered.clear();
