--- a/src/vanilladyke/node/weights_controller.cpp
+++ b/src/vanilladyke/node/weights_controller.cpp
@@ -104,7 +104,7 @@
         LogEvent("lease_handed_on", Severity::Warning)
                 .field("reason", "engines_silent")
                 .field("failures", m_reach.failures());
-        m_reach.handedOn(now);
+        m_reach.leaseReleased(now);
     }
     return !m_stopping && !m_reach.isPausing(now) && (m_rank || mayOrder) && isPending();
 }
--- a/src/vanilladyke/node/weights_controller_test.cpp
+++ b/src/vanilladyke/node/weights_controller_test.cpp
@@ -223,7 +223,7 @@
             m_path.cut.insert(idOf(i));
         }
         nameForBoth(2);
-        stepFor(EngineReachability::LongestSilence + 2 * TrialPath::Patience + WholeRollout);
+        stepFor(EngineReachability::UnreachableAfter + 2 * TrialPath::Patience + WholeRollout);
         EXPECT_EQ(onVersion(2), Engines);
     }
 
@@ -358,7 +358,7 @@
     nameForBoth(2);
     stepFor(std::chrono::seconds(60));
     m_path.cut.clear();
-    stepFor(EngineReachability::Pause + WholeRollout);
+    stepFor(EngineReachability::ReleasePause + WholeRollout);
     EXPECT_EQ(onVersion(2), Engines);
 }
 
--- a/src/vanilladyke/policy/engine_reachability.cpp
+++ b/src/vanilladyke/policy/engine_reachability.cpp
@@ -25,7 +25,7 @@
     record(engine, false, now);
     // The first query may have been sent long after the last answer; that time must not count.
     if (m_failures++ == 0) {
-        m_unansweredSince = std::max(m_unansweredSince, now - LongestSilence / 2);
+        m_unansweredSince = std::max(m_unansweredSince, now - UnreachableAfter / 2);
     }
 }
 
@@ -34,20 +34,20 @@
     const auto unresponsive = std::count_if(m_hasAnswered.begin(), m_hasAnswered.end(),
                                             [](const auto &item) { return !item.second; });
     const auto size = static_cast<std::ptrdiff_t>(m_hasAnswered.size());
-    return unresponsive >= LeastFailures && 2 * unresponsive > size;
+    return unresponsive >= MinFailures && 2 * unresponsive > size;
 }
 
 bool EngineReachability::isLost(TimePoint now) const
 {
     const bool areAllUnresponsive =
-            m_failures >= LeastFailures && now - m_unansweredSince >= LongestSilence;
+            m_failures >= MinFailures && now - m_unansweredSince >= UnreachableAfter;
     return areAllUnresponsive
-           || (isMajorityUnresponsive() && now - m_majorityUnresponsiveSince >= LongestSilence);
+           || (isMajorityUnresponsive() && now - m_majorityUnresponsiveSince >= UnreachableAfter);
 }
 
-void EngineReachability::handedOn(TimePoint now)
+void EngineReachability::leaseReleased(TimePoint now)
 {
-    m_pausesUntil = now + Pause;
+    m_pausedUntil = now + ReleasePause;
     forget();
 }
 
