--- a/include/vanilladyke/node/load_sharing.hpp
+++ b/include/vanilladyke/node/load_sharing.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "vanilladyke/node/sealed_port.hpp"
-#include "vanilladyke/policy/news_routes.hpp"
+#include "vanilladyke/policy/update_routes.hpp"
 #include "vanilladyke/traffic/traffic_state.hpp"
 
 /// Tells other nodes what this one has waiting at each backend server, and hears it from them.
@@ -73,7 +73,7 @@
     std::uint64_t m_self;
     std::uint64_t m_dataCentre; ///< hash of its name
     std::uint64_t m_sequence; ///< begins with the time of start, so that a restart goes on above it
-    NewsRoutes<Udp::endpoint> m_routes;
+    UpdateRoutes<Udp::endpoint> m_routes;
     std::unordered_map<std::uint64_t, Heard> m_heard;
     TimePoint m_nextAt;
     TimePoint m_toldAt;
--- a/include/vanilladyke/policy/news_routes.hpp
+++ b/include/vanilladyke/policy/update_routes.hpp
@@ -20,7 +20,7 @@
 /// @brief The update routes of one node. Pure: performs no I/O.
 /// @tparam Address of a node; must be ordered
 template <typename Address>
-class NewsRoutes
+class UpdateRoutes
 {
 public:
     /// With fewer nodes in a data centre each is sent updates directly: forwarding would save too
@@ -37,7 +37,7 @@
     };
 
     /// @param dataCentre hash of its name
-    explicit NewsRoutes(std::uint64_t dataCentre)
+    explicit UpdateRoutes(std::uint64_t dataCentre)
         : m_dataCentre(dataCentre)
     {}
 
--- a/src/vanilladyke/policy/news_routes_test.cpp
+++ b/src/vanilladyke/policy/update_routes_test.cpp
@@ -1,4 +1,4 @@
-#include "vanilladyke/policy/news_routes.hpp"
+#include "vanilladyke/policy/update_routes.hpp"
 
 #include <gtest/gtest.h>
 
@@ -7,7 +7,7 @@
 namespace vanilladyke {
 namespace {
 
-using Routes = NewsRoutes<int>;
+using Routes = UpdateRoutes<int>;
 
 constexpr int Centres = 5;
 
@@ -48,7 +48,7 @@
     return all;
 }
 
-TEST(NewsRoutes, EveryNodeReceivesEachUpdate)
+TEST(UpdateRoutes, EveryNodeReceivesEachUpdate)
 {
     for (const int nodes : {6, 9, 24, 30, 100, 295}) {
         EXPECT_EQ(reached(3, nodes, at(0)).size(), static_cast<std::size_t>(nodes) - 1) << nodes;
@@ -56,7 +56,7 @@
 }
 
 // Guards against traffic between data centres that grows with the number of nodes in them.
-TEST(NewsRoutes, AnUpdateIsSentToEachDataCentreOnce)
+TEST(UpdateRoutes, AnUpdateIsSentToEachDataCentreOnce)
 {
     Random random(7);
     const auto sent = routesOf(3, 295, at(0)).recipients(random, at(0));
@@ -66,7 +66,7 @@
     }
 }
 
-TEST(NewsRoutes, NodesThatWereNeverSeenAreSentUpdatesDirectly)
+TEST(UpdateRoutes, NodesThatWereNeverSeenAreSentUpdatesDirectly)
 {
     Routes routes(1);
     routes.setNodes({1, 2, 3});
@@ -76,7 +76,7 @@
 
 // A third of the nodes of a data centre is unreachable. Guards against updates that are sent
 // through them: the other nodes in that data centre would miss a third of all updates.
-TEST(NewsRoutes, UnresponsiveNodesAreNotSelectedToForward)
+TEST(UpdateRoutes, UnresponsiveNodesAreNotSelectedToForward)
 {
     Routes routes = routesOf(0, 100, at(0));
     for (int other = 1; other < 100; ++other) {
@@ -92,7 +92,7 @@
     }
 }
 
-TEST(NewsRoutes, TheForwarderIsDrawnAnewForEachUpdate)
+TEST(UpdateRoutes, TheForwarderIsDrawnAnewForEachUpdate)
 {
     const Routes routes = routesOf(0, 100, at(0));
     Random random(7);
