--- a/include/vanilladyke/policy/update_routes.hpp
+++ b/include/vanilladyke/policy/update_routes.hpp
@@ -25,15 +25,15 @@
 public:
     /// With fewer nodes in a data centre each is sent updates directly: forwarding would save too
     /// little.
-    static constexpr std::size_t LeastPassedOn = 5;
+    static constexpr std::size_t MinNodesToForward = 5;
     /// A node that was not seen for longer is not selected to forward updates.
-    static constexpr Duration HeardLife = std::chrono::seconds(8);
+    static constexpr Duration SeenTimeout = std::chrono::seconds(8);
 
     /// @brief The recipients of one update.
     struct Recipients
     {
         std::vector<Address> direct;
-        std::vector<Address> passOn; ///< nodes that forward it in their data centre
+        std::vector<Address> forwarders; ///< nodes that forward it in their data centre
     };
 
     /// @param dataCentre hash of its name
@@ -53,11 +53,11 @@
     }
     /// @brief Records that a message of the node was received.
     /// @return whether the node is new
-    bool heard(const Address &node, std::uint64_t dataCentre, TimePoint now)
+    bool nodeSeen(const Address &node, std::uint64_t dataCentre, TimePoint now)
     {
         const auto [known, isNew] = m_nodes.try_emplace(node);
         known->second.dataCentre = dataCentre;
-        known->second.heardAt = now;
+        known->second.lastSeenAt = now;
         return isNew;
     }
     [[nodiscard]] std::size_t size() const { return m_nodes.size(); }
@@ -76,18 +76,18 @@
             }
         }
         for (const auto &[centre, nodes] : elsewhere) {
-            if (nodes.size() < LeastPassedOn) {
+            if (nodes.size() < MinNodesToForward) {
                 for (const Entry *each : nodes) {
                     result.direct.push_back(each->first);
                 }
             } else {
-                result.passOn.push_back(draw(nodes, random, now));
+                result.forwarders.push_back(draw(nodes, random, now));
             }
         }
         return result;
     }
     /// @brief The other nodes in this data centre, to which updates are forwarded.
-    [[nodiscard]] std::vector<Address> beside() const
+    [[nodiscard]] std::vector<Address> inSameDataCentre() const
     {
         std::vector<Address> result;
         for (const Entry &each : m_nodes) {
@@ -104,7 +104,7 @@
     struct Node
     {
         std::uint64_t dataCentre = Unknown;
-        TimePoint heardAt;
+        TimePoint lastSeenAt;
     };
     using Entry = std::pair<const Address, Node>;
 
@@ -113,7 +113,7 @@
     {
         std::vector<const Entry *> live;
         for (const Entry *each : nodes) {
-            if (now - each->second.heardAt <= HeardLife) {
+            if (now - each->second.lastSeenAt <= SeenTimeout) {
                 live.push_back(each);
             }
         }
--- a/src/vanilladyke/node/load_sharing.cpp
+++ b/src/vanilladyke/node/load_sharing.cpp
@@ -219,13 +219,13 @@
     const auto recipients = m_routes.recipients(m_state.random, now);
     m_port.send(message.SerializeAsString(), recipients.direct);
     message.set_pass_on(true);
-    m_port.send(message.SerializeAsString(), recipients.passOn);
+    m_port.send(message.SerializeAsString(), recipients.forwarders);
 }
 
 void LoadSharing::passOn(wire::NodeLoad message)
 {
     message.set_pass_on(false);
-    m_port.send(message.SerializeAsString(), m_routes.beside());
+    m_port.send(message.SerializeAsString(), m_routes.inSameDataCentre());
 }
 
 void LoadSharing::forgetSilent(TimePoint now)
@@ -254,7 +254,7 @@
     const TimePoint now = MonotonicClock::now();
     heard.sequence = message.sequence();
     heard.at = now;
-    if (m_routes.heard(*origin, message.data_centre(), now)) {
+    if (m_routes.nodeSeen(*origin, message.data_centre(), now)) {
         countPeers(); // it came after the list was read
     }
     if (message.pass_on()) {
--- a/src/vanilladyke/policy/update_routes_test.cpp
+++ b/src/vanilladyke/policy/update_routes_test.cpp
@@ -27,7 +27,7 @@
     Routes routes(centreOf(node));
     for (int other = 0; other < nodes; ++other) {
         if (other != node) {
-            routes.heard(other, centreOf(other), now);
+            routes.nodeSeen(other, centreOf(other), now);
         }
     }
     return routes;
@@ -39,10 +39,10 @@
     Random random(7);
     const Routes::Recipients sent = routesOf(node, nodes, now).recipients(random, now);
     std::set<int> all(sent.direct.begin(), sent.direct.end());
-    for (const int each : sent.passOn) {
+    for (const int each : sent.forwarders) {
         all.insert(each);
-        for (const int beside : routesOf(each, nodes, now).beside()) {
-            all.insert(beside);
+        for (const int inSameDataCentre : routesOf(each, nodes, now).inSameDataCentre()) {
+            all.insert(inSameDataCentre);
         }
     }
     return all;
@@ -60,7 +60,7 @@
 {
     Random random(7);
     const auto sent = routesOf(3, 295, at(0)).recipients(random, at(0));
-    EXPECT_EQ(sent.passOn.size(), static_cast<std::size_t>(Centres) - 1);
+    EXPECT_EQ(sent.forwarders.size(), static_cast<std::size_t>(Centres) - 1);
     for (const int each : sent.direct) {
         EXPECT_EQ(centreOf(each), centreOf(3));
     }
@@ -81,12 +81,12 @@
     Routes routes = routesOf(0, 100, at(0));
     for (int other = 1; other < 100; ++other) {
         if (other % 3 != 0) {
-            routes.heard(other, centreOf(other), at(9000));
+            routes.nodeSeen(other, centreOf(other), at(9000));
         }
     }
     Random random(7);
     for (int i = 0; i < 200; ++i) {
-        for (const int each : routes.recipients(random, at(9000)).passOn) {
+        for (const int each : routes.recipients(random, at(9000)).forwarders) {
             EXPECT_NE(each % 3, 0);
         }
     }
@@ -98,7 +98,7 @@
     Random random(7);
     std::set<int> drawn;
     for (int i = 0; i < 100; ++i) {
-        for (const int each : routes.recipients(random, at(0)).passOn) {
+        for (const int each : routes.recipients(random, at(0)).forwarders) {
             drawn.insert(each);
         }
     }
