--- a/include/vanilladyke/node/state_follower.hpp
+++ b/include/vanilladyke/node/state_follower.hpp
@@ -3,8 +3,8 @@
 #include "vanilladyke/node/record_store.hpp"
 #include "vanilladyke/node/store_calls.hpp"
 #include "vanilladyke/policy/back_off.hpp"
-#include "vanilladyke/policy/reading_turn.hpp"
 #include "vanilladyke/policy/record_relay.hpp"
+#include "vanilladyke/policy/store_reader_selection.hpp"
 
 #include <atomic>
 
@@ -128,7 +128,7 @@
     NodeIdentity m_self;
     FollowTerms m_terms;
     Random m_random;
-    ReadingTurn m_turn;
+    StoreReaderSelection m_turn;
     AskPeer m_ask;
     Topic m_operator;
     Topic m_backends;
--- a/include/vanilladyke/policy/reading_turn.hpp
+++ b/include/vanilladyke/policy/store_reader_selection.hpp
@@ -21,7 +21,7 @@
 
 /// @brief The reader selection of one node. Pure: performs no I/O. Nodes and data centres are
 /// identified by hashes of their names.
-class ReadingTurn
+class StoreReaderSelection
 {
 public:
     /// With fewer nodes each reads the store itself: sharing would save too few calls, and changes
@@ -34,7 +34,7 @@
     static constexpr Duration FirstDoubt = std::chrono::seconds(2);
     static constexpr Duration LongestDoubt = std::chrono::seconds(16);
 
-    ReadingTurn(std::uint64_t self, std::uint64_t dataCentre);
+    StoreReaderSelection(std::uint64_t self, std::uint64_t dataCentre);
 
     /// @brief Records that a message of the node was received.
     /// @param endpoint where the node answers queries
--- a/src/vanilladyke/node/state_follower.cpp
+++ b/src/vanilladyke/node/state_follower.cpp
@@ -162,7 +162,7 @@
 
 bool StateFollower::readsForOthers() const
 {
-    return m_ask && m_turn.size() + 1 >= ReadingTurn::LeastNodes;
+    return m_ask && m_turn.size() + 1 >= StoreReaderSelection::LeastNodes;
 }
 
 asio::awaitable<void> StateFollower::askOthers()
--- a/src/vanilladyke/policy/shared_reading_test.cpp
+++ b/src/vanilladyke/policy/shared_reading_test.cpp
@@ -1,5 +1,5 @@
-#include "vanilladyke/policy/reading_turn.hpp"
 #include "vanilladyke/policy/record_relay.hpp"
+#include "vanilladyke/policy/store_reader_selection.hpp"
 
 #include "vanilladyke/base/random.hpp"
 
@@ -25,9 +25,9 @@
     return {"10.0.0.1", static_cast<std::uint16_t>(node)};
 }
 
-std::vector<ReadingTurn> centreOf(std::uint64_t nodes, TimePoint now)
+std::vector<StoreReaderSelection> centreOf(std::uint64_t nodes, TimePoint now)
 {
-    std::vector<ReadingTurn> selections;
+    std::vector<StoreReaderSelection> selections;
     for (std::uint64_t node = 0; node < nodes; ++node) {
         selections.emplace_back(node, Centre);
         for (std::uint64_t other = 0; other < nodes; ++other) {
@@ -37,11 +37,11 @@
     return selections;
 }
 
-TEST(ReadingTurn, OneNodeOfADataCentreReadsAndTheOthersAskIt)
+TEST(StoreReaderSelection, OneNodeOfADataCentreReadsAndTheOthersAskIt)
 {
     std::map<std::uint64_t, int> asked;
     int readers = 0;
-    for (const ReadingTurn &selection : centreOf(24, at(0))) {
+    for (const StoreReaderSelection &selection : centreOf(24, at(0))) {
         const auto reader = selection.whomToAsk(at(10));
         readers += reader ? 0 : 1;
         if (reader) {
@@ -53,15 +53,15 @@
     EXPECT_EQ(asked.size(), 1U);
 }
 
-TEST(ReadingTurn, InASmallFleetEachNodeReadsTheStore)
+TEST(StoreReaderSelection, InASmallFleetEachNodeReadsTheStore)
 {
-    for (const ReadingTurn &selection : centreOf(3, at(0))) {
+    for (const StoreReaderSelection &selection : centreOf(3, at(0))) {
         EXPECT_FALSE(selection.whomToAsk(at(10)));
     }
 }
 
 /// A fleet with the given number of nodes per data centre, in which every node has seen all others.
-std::vector<ReadingTurn> fleetOf(const std::vector<std::uint64_t> &centres, TimePoint now)
+std::vector<StoreReaderSelection> fleetOf(const std::vector<std::uint64_t> &centres, TimePoint now)
 {
     std::vector<std::pair<std::uint64_t, std::uint64_t>> nodes;
     for (std::uint64_t centre = 0; centre < centres.size(); ++centre) {
@@ -69,7 +69,7 @@
             nodes.emplace_back(nodes.size() + 1, Centre + centre);
         }
     }
-    std::vector<ReadingTurn> selections;
+    std::vector<StoreReaderSelection> selections;
     for (const auto &[node, centre] : nodes) {
         selections.emplace_back(node, centre);
         for (const auto &[other, at] : nodes) {
@@ -79,40 +79,39 @@
     return selections;
 }
 
-int readersOf(const std::vector<ReadingTurn> &selections)
+int readersOf(const std::vector<StoreReaderSelection> &selections)
 {
-    return static_cast<int>(
-            std::count_if(selections.begin(), selections.end(), [](const ReadingTurn &selection) {
-                return !selection.whomToAsk(at(10));
-            }));
+    return static_cast<int>(std::count_if(
+            selections.begin(), selections.end(),
+            [](const StoreReaderSelection &selection) { return !selection.whomToAsk(at(10)); }));
 }
 
 // Twenty nodes in five data centres. Guards against a reader per data centre, and three readers in
 // those with three nodes: a third of the fleet would read the store.
-TEST(ReadingTurn, ASmallFleetHasOneReaderInAllItsDataCentres)
+TEST(StoreReaderSelection, ASmallFleetHasOneReaderInAllItsDataCentres)
 {
     EXPECT_EQ(readersOf(fleetOf({4, 4, 3, 5, 4}, at(0))), 1);
 }
 
 // Guards against a single reader that hundreds of nodes query four times a second: it would have no
 // processor time left for its own requests.
-TEST(ReadingTurn, InALargeFleetEachDataCentreHasAReader)
+TEST(StoreReaderSelection, InALargeFleetEachDataCentreHasAReader)
 {
     EXPECT_EQ(readersOf(fleetOf({59, 65, 50}, at(0))), 3);
 }
 
-TEST(ReadingTurn, NodesOfASmallDataCentreAskAReaderElsewhere)
+TEST(StoreReaderSelection, NodesOfASmallDataCentreAskAReaderElsewhere)
 {
-    const std::vector<ReadingTurn> selections = fleetOf({2, 40}, at(0));
+    const std::vector<StoreReaderSelection> selections = fleetOf({2, 40}, at(0));
     EXPECT_TRUE(selections[0].whomToAsk(at(10)) || selections[1].whomToAsk(at(10)));
     EXPECT_LE(readersOf(selections), 2);
 }
 
 // The reader of 23 other nodes hangs. Each of them has to detect this on its own.
-TEST(ReadingTurn, AnUnresponsiveReaderIsReplacedAndAskedAgainLater)
+TEST(StoreReaderSelection, AnUnresponsiveReaderIsReplacedAndAskedAgainLater)
 {
-    std::vector<ReadingTurn> selections = centreOf(24, at(0));
-    for (ReadingTurn &selection : selections) {
+    std::vector<StoreReaderSelection> selections = centreOf(24, at(0));
+    for (StoreReaderSelection &selection : selections) {
         const auto first = selection.whomToAsk(at(10));
         if (!first) {
             continue;
@@ -130,9 +129,9 @@
 
 // Guards against all of 72 nodes standing by for the order lease and reading its log at every
 // renewal: only the first nine ranks stand by, and others replace them if they fail.
-TEST(ReadingTurn, AFewNodesStandByAndOthersReplaceThemWhenTheyFail)
+TEST(StoreReaderSelection, AFewNodesStandByAndOthersReplaceThemWhenTheyFail)
 {
-    std::vector<ReadingTurn> selections = centreOf(72, at(0));
+    std::vector<StoreReaderSelection> selections = centreOf(72, at(0));
     const auto standbyNodes = [&selections](TimePoint now) {
         std::set<std::size_t> result;
         for (std::size_t i = 0; i < selections.size(); ++i) {
@@ -159,9 +158,9 @@
     }
 }
 
-TEST(ReadingTurn, ANodeThatIsNoLongerSeenIsRemoved)
+TEST(StoreReaderSelection, ANodeThatIsNoLongerSeenIsRemoved)
 {
-    ReadingTurn selection = centreOf(24, at(0)).front();
+    StoreReaderSelection selection = centreOf(24, at(0)).front();
     EXPECT_FALSE(selection.whomToAsk(at(8100)));
     selection.heard(5, Centre, endpointOf(5), at(9000));
     EXPECT_EQ(selection.size(), 1U);
--- a/src/vanilladyke/policy/reading_turn.cpp
+++ b/src/vanilladyke/policy/store_reader_selection.cpp
@@ -1,4 +1,4 @@
-#include "vanilladyke/policy/reading_turn.hpp"
+#include "vanilladyke/policy/store_reader_selection.hpp"
 
 #include "vanilladyke/model/fleet_index.hpp"
 
@@ -13,17 +13,18 @@
 
 } // namespace
 
-ReadingTurn::ReadingTurn(std::uint64_t self, std::uint64_t dataCentre)
+StoreReaderSelection::StoreReaderSelection(std::uint64_t self, std::uint64_t dataCentre)
     : m_self(self)
     , m_dataCentre(dataCentre)
 {}
 
-std::uint64_t ReadingTurn::rankingHash(std::uint64_t node, std::optional<std::uint64_t> group)
+std::uint64_t StoreReaderSelection::rankingHash(std::uint64_t node,
+                                                std::optional<std::uint64_t> group)
 {
     return mixBits(group.value_or(0) ^ mixBits(node));
 }
 
-void ReadingTurn::removeUnresponsive(TimePoint now)
+void StoreReaderSelection::removeUnresponsive(TimePoint now)
 {
     if (m_cleanedUpAt != TimePoint::min() && now - m_cleanedUpAt < CleanupInterval) {
         return;
@@ -32,8 +33,8 @@
     std::erase_if(m_nodes, [now](const auto &item) { return !isLive(item.second, now); });
 }
 
-void ReadingTurn::heard(std::uint64_t node, std::uint64_t dataCentre, const Endpoint &endpoint,
-                        TimePoint now)
+void StoreReaderSelection::heard(std::uint64_t node, std::uint64_t dataCentre,
+                                 const Endpoint &endpoint, TimePoint now)
 {
     if (node == m_self) {
         return;
@@ -45,12 +46,12 @@
     removeUnresponsive(now);
 }
 
-bool ReadingTurn::isLive(const Node &node, TimePoint now)
+bool StoreReaderSelection::isLive(const Node &node, TimePoint now)
 {
     return now - node.lastSeenAt <= HeardLife;
 }
 
-std::optional<std::uint64_t> ReadingTurn::groupAt(TimePoint now) const
+std::optional<std::uint64_t> StoreReaderSelection::groupAt(TimePoint now) const
 {
     std::size_t live = 1;
     std::size_t inSameDataCentre = 1;
@@ -62,7 +63,7 @@
     return isSmall ? std::nullopt : std::optional(m_dataCentre);
 }
 
-std::optional<std::uint64_t> ReadingTurn::whomToAsk(TimePoint now) const
+std::optional<std::uint64_t> StoreReaderSelection::whomToAsk(TimePoint now) const
 {
     const std::optional<std::uint64_t> group = groupAt(now);
     std::optional<std::uint64_t> first;
@@ -81,7 +82,7 @@
     return live < LeastNodes ? std::nullopt : first;
 }
 
-std::size_t ReadingTurn::rank(TimePoint now) const
+std::size_t StoreReaderSelection::rank(TimePoint now) const
 {
     const auto before = std::count_if(m_nodes.begin(), m_nodes.end(), [&](const auto &item) {
         return isLive(item.second, now) && mixBits(item.first) > mixBits(m_self);
@@ -89,13 +90,13 @@
     return static_cast<std::size_t>(before);
 }
 
-Endpoint ReadingTurn::endpointOf(std::uint64_t node) const
+Endpoint StoreReaderSelection::endpointOf(std::uint64_t node) const
 {
     const auto known = m_nodes.find(node);
     return known == m_nodes.end() ? Endpoint() : known->second.endpoint;
 }
 
-void ReadingTurn::answered(std::uint64_t node)
+void StoreReaderSelection::answered(std::uint64_t node)
 {
     const auto known = m_nodes.find(node);
     if (known != m_nodes.end()) {
@@ -103,7 +104,7 @@
     }
 }
 
-void ReadingTurn::doubt(std::uint64_t node, TimePoint now)
+void StoreReaderSelection::doubt(std::uint64_t node, TimePoint now)
 {
     const auto known = m_nodes.find(node);
     if (known != m_nodes.end()) {
