--- a/include/vanilladyke/policy/store_reader_selection.hpp
+++ b/include/vanilladyke/policy/store_reader_selection.hpp
@@ -26,31 +26,31 @@
 public:
     /// With fewer nodes each reads the store itself: sharing would save too few calls, and changes
     /// arrive sooner from the store than from another node.
-    static constexpr std::size_t LeastNodes = 10;
+    static constexpr std::size_t MinNodes = 10;
     /// Largest fleet with a single reader; answering so many nodes takes little of a small host.
-    static constexpr std::size_t MostTogether = 32;
+    static constexpr std::size_t MaxNodesPerReader = 32;
     /// A node that was not seen for longer is not selected.
-    static constexpr Duration HeardLife = std::chrono::seconds(8);
-    static constexpr Duration FirstDoubt = std::chrono::seconds(2);
-    static constexpr Duration LongestDoubt = std::chrono::seconds(16);
+    static constexpr Duration SeenTimeout = std::chrono::seconds(8);
+    static constexpr Duration InitialBackOff = std::chrono::seconds(2);
+    static constexpr Duration MaxBackOff = std::chrono::seconds(16);
 
     StoreReaderSelection(std::uint64_t self, std::uint64_t dataCentre);
 
     /// @brief Records that a message of the node was received.
     /// @param endpoint where the node answers queries
-    void heard(std::uint64_t node, std::uint64_t dataCentre, const Endpoint &endpoint,
-               TimePoint now);
+    void nodeSeen(std::uint64_t node, std::uint64_t dataCentre, const Endpoint &endpoint,
+                  TimePoint now);
     /// @brief This node's position among all live nodes, from 0.
     [[nodiscard]] std::size_t rank(TimePoint now) const;
     /// @brief The node to ask; none if this node reads the store itself.
-    [[nodiscard]] std::optional<std::uint64_t> whomToAsk(TimePoint now) const;
+    [[nodiscard]] std::optional<std::uint64_t> readerToAsk(TimePoint now) const;
     /// @return an empty endpoint if the node is unknown
     [[nodiscard]] Endpoint endpointOf(std::uint64_t node) const;
     /// @brief Resets the node's back-off after an answer.
     void answered(std::uint64_t node);
     /// @brief Starts or doubles the node's back-off: it did not answer in time, or its data was too
     /// old.
-    void doubt(std::uint64_t node, TimePoint now);
+    void backOff(std::uint64_t node, TimePoint now);
     /// @brief Number of nodes seen recently, without this one.
     [[nodiscard]] std::size_t size() const { return m_nodes.size(); }
 
--- a/src/vanilladyke/node/state_follower.cpp
+++ b/src/vanilladyke/node/state_follower.cpp
@@ -108,7 +108,7 @@
 void StateFollower::heardNode(std::uint64_t node, std::uint64_t dataCentre,
                               const Endpoint &endpoint)
 {
-    m_turn.heard(node, dataCentre, endpoint, BootClock::now());
+    m_turn.nodeSeen(node, dataCentre, endpoint, BootClock::now());
 }
 
 std::optional<std::size_t> StateFollower::standbyRank() const
@@ -143,7 +143,7 @@
 {
     const TimePoint now = BootClock::now();
     return m_ask && topic.isListed && !topic.mustRead && now - topic.provedAt < limit
-           && m_turn.whomToAsk(now);
+           && m_turn.readerToAsk(now);
 }
 
 CallCause StateFollower::whyRead(const Topic &topic) const
@@ -154,7 +154,7 @@
     if (topic.mustRead) {
         return CallCause::PeerCouldNotTell;
     }
-    if (m_turn.whomToAsk(BootClock::now())) {
+    if (m_turn.readerToAsk(BootClock::now())) {
         return CallCause::OldProof;
     }
     return readsForOthers() ? CallCause::ForOthers : CallCause::Alone;
@@ -162,7 +162,7 @@
 
 bool StateFollower::readsForOthers() const
 {
-    return m_ask && m_turn.size() + 1 >= StoreReaderSelection::LeastNodes;
+    return m_ask && m_turn.size() + 1 >= StoreReaderSelection::MinNodes;
 }
 
 asio::awaitable<void> StateFollower::askOthers()
@@ -170,20 +170,20 @@
     while (!m_stopped) {
         co_await pause(spanOfSeconds(secondsOf(AskEvery) * (0.75 + uniform(m_random) / 2)));
         const TimePoint askedAt = BootClock::now();
-        const auto whom = m_turn.whomToAsk(askedAt);
+        const auto whom = m_turn.readerToAsk(askedAt);
         if (!m_ask || !whom || !m_operator.isListed || !m_backends.isListed) {
             continue;
         }
         const Endpoint reader = m_turn.endpointOf(*whom);
         const auto news = co_await m_ask(reader, m_operator.next, m_backends.next);
         if (!news) {
-            m_turn.doubt(*whom, BootClock::now());
+            m_turn.backOff(*whom, BootClock::now());
             LogEvent("reader_doubted").field("reader", reader.str());
             continue;
         }
         if (isBehind(*news)) {
             // It answers, but doesn't reach the store: all who go on asking it would read instead.
-            m_turn.doubt(*whom, BootClock::now());
+            m_turn.backOff(*whom, BootClock::now());
             LogEvent("reader_behind").field("reader", reader.str());
         } else {
             m_turn.answered(*whom);
--- a/src/vanilladyke/policy/shared_reading_test.cpp
+++ b/src/vanilladyke/policy/shared_reading_test.cpp
@@ -31,7 +31,7 @@
     for (std::uint64_t node = 0; node < nodes; ++node) {
         selections.emplace_back(node, Centre);
         for (std::uint64_t other = 0; other < nodes; ++other) {
-            selections.back().heard(other, Centre, endpointOf(other), now);
+            selections.back().nodeSeen(other, Centre, endpointOf(other), now);
         }
     }
     return selections;
@@ -42,7 +42,7 @@
     std::map<std::uint64_t, int> asked;
     int readers = 0;
     for (const StoreReaderSelection &selection : centreOf(24, at(0))) {
-        const auto reader = selection.whomToAsk(at(10));
+        const auto reader = selection.readerToAsk(at(10));
         readers += reader ? 0 : 1;
         if (reader) {
             ++asked[*reader];
@@ -56,7 +56,7 @@
 TEST(StoreReaderSelection, InASmallFleetEachNodeReadsTheStore)
 {
     for (const StoreReaderSelection &selection : centreOf(3, at(0))) {
-        EXPECT_FALSE(selection.whomToAsk(at(10)));
+        EXPECT_FALSE(selection.readerToAsk(at(10)));
     }
 }
 
@@ -73,7 +73,7 @@
     for (const auto &[node, centre] : nodes) {
         selections.emplace_back(node, centre);
         for (const auto &[other, at] : nodes) {
-            selections.back().heard(other, at, endpointOf(other), now);
+            selections.back().nodeSeen(other, at, endpointOf(other), now);
         }
     }
     return selections;
@@ -83,7 +83,7 @@
 {
     return static_cast<int>(std::count_if(
             selections.begin(), selections.end(),
-            [](const StoreReaderSelection &selection) { return !selection.whomToAsk(at(10)); }));
+            [](const StoreReaderSelection &selection) { return !selection.readerToAsk(at(10)); }));
 }
 
 // Twenty nodes in five data centres. Guards against a reader per data centre, and three readers in
@@ -103,7 +103,7 @@
 TEST(StoreReaderSelection, NodesOfASmallDataCentreAskAReaderElsewhere)
 {
     const std::vector<StoreReaderSelection> selections = fleetOf({2, 40}, at(0));
-    EXPECT_TRUE(selections[0].whomToAsk(at(10)) || selections[1].whomToAsk(at(10)));
+    EXPECT_TRUE(selections[0].readerToAsk(at(10)) || selections[1].readerToAsk(at(10)));
     EXPECT_LE(readersOf(selections), 2);
 }
 
@@ -112,18 +112,18 @@
 {
     std::vector<StoreReaderSelection> selections = centreOf(24, at(0));
     for (StoreReaderSelection &selection : selections) {
-        const auto first = selection.whomToAsk(at(10));
+        const auto first = selection.readerToAsk(at(10));
         if (!first) {
             continue;
         }
-        selection.doubt(*first, at(10));
-        EXPECT_NE(selection.whomToAsk(at(11)), first);
-        EXPECT_EQ(selection.whomToAsk(at(2100)), first);
-        selection.doubt(*first, at(2100));
-        EXPECT_NE(selection.whomToAsk(at(5000)), first) << "the back-off grows";
+        selection.backOff(*first, at(10));
+        EXPECT_NE(selection.readerToAsk(at(11)), first);
+        EXPECT_EQ(selection.readerToAsk(at(2100)), first);
+        selection.backOff(*first, at(2100));
+        EXPECT_NE(selection.readerToAsk(at(5000)), first) << "the back-off grows";
         selection.answered(*first);
-        selection.doubt(*first, at(5000));
-        EXPECT_EQ(selection.whomToAsk(at(7100)), first) << "an answer resets the back-off";
+        selection.backOff(*first, at(5000));
+        EXPECT_EQ(selection.readerToAsk(at(7100)), first) << "an answer resets the back-off";
     }
 }
 
@@ -146,7 +146,7 @@
     for (std::size_t i = 0; i < selections.size(); ++i) {
         for (std::size_t other = 0; other < selections.size(); ++other) {
             if (!first.contains(other)) { // the former standby nodes are no longer seen
-                selections[i].heard(other, Centre, endpointOf(other), at(9000));
+                selections[i].nodeSeen(other, Centre, endpointOf(other), at(9000));
             }
         }
     }
@@ -161,8 +161,8 @@
 TEST(StoreReaderSelection, ANodeThatIsNoLongerSeenIsRemoved)
 {
     StoreReaderSelection selection = centreOf(24, at(0)).front();
-    EXPECT_FALSE(selection.whomToAsk(at(8100)));
-    selection.heard(5, Centre, endpointOf(5), at(9000));
+    EXPECT_FALSE(selection.readerToAsk(at(8100)));
+    selection.nodeSeen(5, Centre, endpointOf(5), at(9000));
     EXPECT_EQ(selection.size(), 1U);
 }
 
--- a/src/vanilladyke/policy/store_reader_selection.cpp
+++ b/src/vanilladyke/policy/store_reader_selection.cpp
@@ -33,8 +33,8 @@
     std::erase_if(m_nodes, [now](const auto &item) { return !isLive(item.second, now); });
 }
 
-void StoreReaderSelection::heard(std::uint64_t node, std::uint64_t dataCentre,
-                                 const Endpoint &endpoint, TimePoint now)
+void StoreReaderSelection::nodeSeen(std::uint64_t node, std::uint64_t dataCentre,
+                                    const Endpoint &endpoint, TimePoint now)
 {
     if (node == m_self) {
         return;
@@ -48,7 +48,7 @@
 
 bool StoreReaderSelection::isLive(const Node &node, TimePoint now)
 {
-    return now - node.lastSeenAt <= HeardLife;
+    return now - node.lastSeenAt <= SeenTimeout;
 }
 
 std::optional<std::uint64_t> StoreReaderSelection::groupAt(TimePoint now) const
@@ -59,11 +59,11 @@
         live += isLive(known, now) ? 1 : 0;
         inSameDataCentre += isLive(known, now) && known.dataCentre == m_dataCentre ? 1 : 0;
     }
-    const bool isSmall = live <= MostTogether || inSameDataCentre < LeastNodes;
+    const bool isSmall = live <= MaxNodesPerReader || inSameDataCentre < MinNodes;
     return isSmall ? std::nullopt : std::optional(m_dataCentre);
 }
 
-std::optional<std::uint64_t> StoreReaderSelection::whomToAsk(TimePoint now) const
+std::optional<std::uint64_t> StoreReaderSelection::readerToAsk(TimePoint now) const
 {
     const std::optional<std::uint64_t> group = groupAt(now);
     std::optional<std::uint64_t> first;
@@ -79,7 +79,7 @@
             first = node;
         }
     }
-    return live < LeastNodes ? std::nullopt : first;
+    return live < MinNodes ? std::nullopt : first;
 }
 
 std::size_t StoreReaderSelection::rank(TimePoint now) const
@@ -104,12 +104,12 @@
     }
 }
 
-void StoreReaderSelection::doubt(std::uint64_t node, TimePoint now)
+void StoreReaderSelection::backOff(std::uint64_t node, TimePoint now)
 {
     const auto known = m_nodes.find(node);
     if (known != m_nodes.end()) {
         Duration &span = known->second.backOffSpan;
-        span = std::clamp<Duration>(2 * span, FirstDoubt, LongestDoubt);
+        span = std::clamp<Duration>(2 * span, InitialBackOff, MaxBackOff);
         known->second.backOffUntil = now + span;
     }
 }
