--- a/include/vanilladyke/node/state_follower.hpp
+++ b/include/vanilladyke/node/state_follower.hpp
@@ -22,8 +22,8 @@
 /// @brief What another node knows beyond two offsets.
 struct SharedNews
 {
-    std::optional<RecordRelay::News> configuration;
-    std::optional<RecordRelay::News> backends;
+    std::optional<RecordRelay::Updates> configuration;
+    std::optional<RecordRelay::Updates> backends;
 };
 
 /// @brief Asks another node; none if it does not answer in time.
@@ -111,14 +111,14 @@
     void knowOperatorUpTo(std::uint64_t next);
     [[nodiscard]] asio::awaitable<void> catchUp();
     void take(const SharedNews &news, TimePoint askedAt);
-    static void mustRead(Topic *topic, const std::optional<RecordRelay::News> &news,
+    static void mustRead(Topic *topic, const std::optional<RecordRelay::Updates> &news,
                          TimePoint askedAt);
     /// How long a node that reads for others waits for the operator's next record.
     [[nodiscard]] Duration waitForOthers(TimePoint now) const;
     /// Whether what another node tells is too old to stand for a call of this node's own.
     [[nodiscard]] bool isBehind(const SharedNews &news) const;
     void knowFleetKey(std::string key) const;
-    void takeOperator(const RecordRelay::News &news, TimePoint askedAt);
+    void takeOperator(const RecordRelay::Updates &news, TimePoint askedAt);
 
     asio::io_context &m_context;
     RecordStore &m_store;
--- a/include/vanilladyke/policy/record_relay.hpp
+++ b/include/vanilladyke/policy/record_relay.hpp
@@ -21,7 +21,7 @@
 {
 public:
     /// Capacity. A node that is more changes behind has to read the store itself.
-    static constexpr std::size_t MostChanges = 2048;
+    static constexpr std::size_t MaxChanges = 2048;
 
     /// @brief A record and its offset in the topic.
     struct Change
@@ -31,7 +31,7 @@
         std::string key; ///< empty if unknown
     };
     /// @brief The changes since an offset.
-    struct News
+    struct Updates
     {
         std::uint64_t next = 0; ///< with these changes, all before this offset is covered
         Duration age{};         ///< of the freshness proof: no later records existed then
@@ -52,9 +52,9 @@
     void proved(TimePoint at);
     /// @brief The changes from an offset on.
     /// @return none if the buffered changes don't reach back to @p offset, there is no freshness
-    /// proof, or the changes exceed @p mostBytes
-    [[nodiscard]] std::optional<News> since(std::uint64_t offset, std::size_t mostBytes,
-                                            TimePoint now) const;
+    /// proof, or the changes exceed @p maxBytes
+    [[nodiscard]] std::optional<Updates> since(std::uint64_t offset, std::size_t maxBytes,
+                                               TimePoint now) const;
 
 private:
     std::deque<Change> m_changes;
--- a/src/vanilladyke/node/peer_questions.cpp
+++ b/src/vanilladyke/node/peer_questions.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-void write(const std::optional<RecordRelay::News> &news, wire::TopicNews *out)
+void write(const std::optional<RecordRelay::Updates> &news, wire::TopicNews *out)
 {
     out->set_known(news.has_value());
     if (!news) {
@@ -22,12 +22,12 @@
     }
 }
 
-std::optional<RecordRelay::News> read(const wire::TopicNews &in)
+std::optional<RecordRelay::Updates> read(const wire::TopicNews &in)
 {
     if (!in.known()) {
         return std::nullopt;
     }
-    RecordRelay::News news;
+    RecordRelay::Updates news;
     news.next = in.next();
     news.age = std::chrono::microseconds(in.age_us());
     for (const wire::TopicRecord &record : in.records()) {
--- a/src/vanilladyke/node/state_follower.cpp
+++ b/src/vanilladyke/node/state_follower.cpp
@@ -194,14 +194,14 @@
 
 bool StateFollower::isBehind(const SharedNews &news) const
 {
-    const auto isOld = [](const std::optional<RecordRelay::News> &topic, Duration oldest) {
+    const auto isOld = [](const std::optional<RecordRelay::Updates> &topic, Duration oldest) {
         return topic && topic->age >= oldest;
     };
     return isOld(news.configuration, partOf(m_terms.apply, OldestSharedPart))
            || isOld(news.backends, partOf(m_terms.drain, BackendsPart));
 }
 
-void StateFollower::mustRead(Topic *topic, const std::optional<RecordRelay::News> &news,
+void StateFollower::mustRead(Topic *topic, const std::optional<RecordRelay::Updates> &news,
                              TimePoint askedAt)
 {
     // A call of this node's own that is under way, or came after the question, tells already.
@@ -230,7 +230,7 @@
     }
 }
 
-void StateFollower::takeOperator(const RecordRelay::News &news, TimePoint askedAt)
+void StateFollower::takeOperator(const RecordRelay::Updates &news, TimePoint askedAt)
 {
     // All that was written before the last proof is known: what comes now is younger.
     const Duration age = BootClock::now() - m_operator.provedAt;
--- a/src/vanilladyke/policy/record_relay.cpp
+++ b/src/vanilladyke/policy/record_relay.cpp
@@ -26,7 +26,7 @@
             m_changes.begin(), m_changes.end(), offset,
             [](std::uint64_t at, const Change &change) { return at < change.offset; });
     m_changes.insert(place, {offset, std::move(record), key});
-    if (m_changes.size() > MostChanges) {
+    if (m_changes.size() > MaxChanges) {
         m_first = m_changes.front().offset + 1;
         m_changes.pop_front();
     }
@@ -37,27 +37,27 @@
     m_provedAt = m_provedAt ? std::max(*m_provedAt, at) : at;
 }
 
-std::optional<RecordRelay::News> RecordRelay::since(std::uint64_t offset, std::size_t mostBytes,
-                                                    TimePoint now) const
+std::optional<RecordRelay::Updates> RecordRelay::since(std::uint64_t offset, std::size_t maxBytes,
+                                                       TimePoint now) const
 {
     if (!m_provedAt || offset < m_first) {
         return std::nullopt;
     }
-    News news;
-    news.next = std::max(offset, m_next);
-    news.age = now - *m_provedAt;
+    Updates updates;
+    updates.next = std::max(offset, m_next);
+    updates.age = now - *m_provedAt;
     const auto begin = std::lower_bound(
             m_changes.begin(), m_changes.end(), offset,
             [](const Change &change, std::uint64_t from) { return change.offset < from; });
     std::size_t bytes = 0;
     for (auto each = begin; each != m_changes.end(); ++each) {
         bytes += each->record.size();
-        if (bytes > mostBytes) {
+        if (bytes > maxBytes) {
             return std::nullopt;
         }
-        news.changes.push_back(*each);
+        updates.changes.push_back(*each);
     }
-    return news;
+    return updates;
 }
 
 } // namespace vanilladyke
--- a/src/vanilladyke/policy/shared_reading_test.cpp
+++ b/src/vanilladyke/policy/shared_reading_test.cpp
@@ -240,12 +240,12 @@
     RecordRelay relay;
     relay.restart(0);
     relay.proved(at(0));
-    for (std::uint64_t offset = 0; offset < RecordRelay::MostChanges + 5; ++offset) {
+    for (std::uint64_t offset = 0; offset < RecordRelay::MaxChanges + 5; ++offset) {
         relay.changed(offset, "x");
     }
-    relay.readUpTo(RecordRelay::MostChanges + 5);
+    relay.readUpTo(RecordRelay::MaxChanges + 5);
     EXPECT_FALSE(relay.since(4, NoSizeLimit, at(1)));
-    EXPECT_EQ(relay.since(5, NoSizeLimit, at(1))->changes.size(), RecordRelay::MostChanges);
+    EXPECT_EQ(relay.since(5, NoSizeLimit, at(1))->changes.size(), RecordRelay::MaxChanges);
 }
 
 // Fifty nodes follow a log in which every third record is a change. They read the store or query
