--- a/include/vanilladyke/policy/rumor_buffer.hpp
+++ b/include/vanilladyke/policy/gossip_buffer.hpp
@@ -11,7 +11,7 @@
 
 /// @brief How often a node sends one update so that it reaches every node of the fleet with high
 /// probability: a multiple of log2 of the fleet's size, as epidemic dissemination requires.
-[[nodiscard]] constexpr std::uint32_t rumorRepeats(std::size_t nodes)
+[[nodiscard]] constexpr std::uint32_t gossipRepeats(std::size_t nodes)
 {
     constexpr std::uint32_t RepeatsPerDoubling = 3;
     return RepeatsPerDoubling * static_cast<std::uint32_t>(std::bit_width(nodes + 1));
@@ -22,7 +22,7 @@
 /// @tparam Key identifies the subject of an update; a newer update with the same key replaces an
 /// older one
 template <typename Item, typename Key>
-class RumorBuffer
+class GossipBuffer
 {
 public:
     /// @brief Starts to gossip an item, in place of an older update with the same key.
--- a/include/vanilladyke/policy/membership.hpp
+++ b/include/vanilladyke/policy/membership.hpp
@@ -2,8 +2,8 @@
 
 #include "vanilladyke/base/random.hpp"
 #include "vanilladyke/base/time.hpp"
+#include "vanilladyke/policy/gossip_buffer.hpp"
 #include "vanilladyke/policy/peer_message.hpp"
-#include "vanilladyke/policy/rumor_buffer.hpp"
 
 #include <map>
 #include <optional>
@@ -119,8 +119,8 @@
     std::vector<NodeId> m_order; ///< members not yet probed in the current round
     std::vector<Probe> m_probes;
     std::vector<IndirectProbe> m_indirectProbes;
-    RumorBuffer<Member, NodeId> m_updates;
-    RumorBuffer<EngineId, EngineId> m_leavingUpdates;
+    GossipBuffer<Member, NodeId> m_updates;
+    GossipBuffer<EngineId, EngineId> m_leavingUpdates;
     std::vector<EngineId> m_leavingReceived;
     std::vector<EngineId> m_leavingKnown;
     std::vector<Member> m_changes;
--- a/src/vanilladyke/policy/membership.cpp
+++ b/src/vanilladyke/policy/membership.cpp
@@ -310,7 +310,7 @@
 
 PeerMessage Membership::compose(decltype(PeerMessage::body) body)
 {
-    const std::uint32_t repeats = rumorRepeats(m_known.size());
+    const std::uint32_t repeats = gossipRepeats(m_known.size());
     PeerMessage message;
     message.from = m_self;
     message.news = m_updates.take(UpdatesPerMessage, repeats);
