--- a/include/vanilladyke/policy/peer_message.hpp
+++ b/include/vanilladyke/policy/peer_message.hpp
@@ -56,7 +56,7 @@
 struct PeerMessage
 {
     Member from;
-    std::vector<Member> news;
+    std::vector<Member> updates;
     std::vector<EngineId> leavingEngines; ///< engines that must get no new requests
     std::variant<Ping, Ack, PingRequest, SnapshotRequest, SnapshotPiece> body;
     NodeLoad load = {}; ///< of the sender
--- a/src/vanilladyke/peers/codec.cpp
+++ b/src/vanilladyke/peers/codec.cpp
@@ -165,7 +165,7 @@
 {
     wire::PeerMessage out;
     write(message.from, out.mutable_from());
-    for (const Member &member : message.news) {
+    for (const Member &member : message.updates) {
         write(member, out.add_news());
     }
     for (const EngineId &engine : message.leavingEngines) {
@@ -192,7 +192,7 @@
         return failure(DecodeError{"the sender is malformed"});
     }
     for (const wire::Member &member : in.news()) {
-        if (!read(member, &message.news.emplace_back())) {
+        if (!read(member, &message.updates.emplace_back())) {
             return failure(DecodeError{"news of a node is malformed"});
         }
     }
--- a/src/vanilladyke/peers/codec_test.cpp
+++ b/src/vanilladyke/peers/codec_test.cpp
@@ -25,14 +25,14 @@
 {
     PeerMessage message;
     message.from = memberOf("n1");
-    message.news = {memberOf("n2"), memberOf("n3")};
+    message.updates = {memberOf("n2"), memberOf("n3")};
     message.leavingEngines = {EngineId("copy-1")};
     message.load = {{ModelId("copy")}, {{CustomerId("brand"), 12.5}}};
     message.body = SnapshotPiece{SnapshotSection::CacheView, 4, 5, {"a", std::string(1, '\0')}};
     const auto read = decode(encode(message));
     ASSERT_TRUE(read.has_value()) << read.error().reason;
     EXPECT_EQ(read->from, message.from);
-    EXPECT_EQ(read->news, message.news);
+    EXPECT_EQ(read->updates, message.updates);
     EXPECT_EQ(read->leavingEngines, message.leavingEngines);
     EXPECT_EQ(read->load, message.load);
     const auto &piece = std::get<SnapshotPiece>(read->body);
--- a/src/vanilladyke/policy/membership.cpp
+++ b/src/vanilladyke/policy/membership.cpp
@@ -63,7 +63,7 @@
     if (sender != m_known.end() && sender->second.member.incarnation == message.from.incarnation) {
         sender->second.member.bundleVersion = message.from.bundleVersion;
     }
-    for (const Member &member : message.news) {
+    for (const Member &member : message.updates) {
         merge(member, now);
     }
     for (const EngineId &engine : message.leavingEngines) {
@@ -75,7 +75,7 @@
         // A node that just joined knows no others: it gets all members at once, instead of waiting
         // for single updates.
         if (isNew) {
-            answer.news = members();
+            answer.updates = members();
         }
         appendSuspicion(answer, message.from.node);
         out.push_back({route, std::move(answer)});
@@ -313,7 +313,7 @@
     const std::uint32_t repeats = gossipRepeats(m_known.size());
     PeerMessage message;
     message.from = m_self;
-    message.news = m_updates.take(UpdatesPerMessage, repeats);
+    message.updates = m_updates.take(UpdatesPerMessage, repeats);
     message.leavingEngines = m_leavingUpdates.take(LeavingPerMessage, repeats);
     message.load = m_load;
     message.body = std::move(body);
@@ -326,7 +326,7 @@
     // Unless the node receives it, it does not refute it, and stays dead to the others permanently.
     const auto found = m_known.find(node);
     if (found != m_known.end() && found->second.member.liveness != Liveness::Alive) {
-        message.news.push_back(found->second.member);
+        message.updates.push_back(found->second.member);
     }
 }
 
