--- a/include/vanilladyke/policy/bundle_fold.hpp
+++ b/include/vanilladyke/policy/bundle_fold.hpp
@@ -68,7 +68,7 @@
 
 /// @brief Number of history entries in the fold and in a checkpoint; older ones are only in the
 /// log.
-inline constexpr std::size_t MostHistory = 512;
+inline constexpr std::size_t MaxHistory = 512;
 
 /// @brief The fold state of one reader of the log.
 class BundleFold
@@ -87,7 +87,7 @@
     /// @brief The offset of the next page to read.
     [[nodiscard]] LogOffset next() const { return m_next; }
     /// @brief Whether no relevant record was missed. If false, the fold waits for a checkpoint.
-    [[nodiscard]] bool unbroken() const { return m_unbroken; }
+    [[nodiscard]] bool isComplete() const { return m_isComplete; }
     /// @brief Whether the end of the log, as given by the last page, has been reached.
     [[nodiscard]] bool caughtUp() const { return m_caughtUp; }
 
@@ -126,7 +126,7 @@
     LogOffset m_next = 0;
     LogOffset m_viewStart = 0; ///< every record from here to m_next has been read
     LogOffset m_firstKept = 0; ///< offset of the log's oldest record in the last page
-    bool m_unbroken = true;
+    bool m_isComplete = true;
     bool m_caughtUp = false;
     std::vector<Publication> m_undecided; ///< read while waiting for a checkpoint, in log order
 
--- a/src/vanilladyke/control/bundle_controller.cpp
+++ b/src/vanilladyke/control/bundle_controller.cpp
@@ -186,9 +186,9 @@
     status.accepted = m_accepted;
     status.history = history();
     status.logReachable = m_logReachable;
-    status.logUnbroken = m_fold.unbroken();
+    status.logUnbroken = m_fold.isComplete();
     status.logTrouble = m_logTrouble;
-    if (m_logReachable && !m_fold.unbroken()) {
+    if (m_logReachable && !m_fold.isComplete()) {
         status.logTrouble = "records were dropped before they were read; waiting for a checkpoint";
     }
     m_board.show(std::move(status));
--- a/src/vanilladyke/policy/bundle_fold.cpp
+++ b/src/vanilladyke/policy/bundle_fold.cpp
@@ -80,7 +80,7 @@
         notes.back().acceptedVersion = m_accepted ? m_accepted->entry.version : 0;
     }
     m_caughtUp = m_next >= page.nextOffset;
-    if (m_caughtUp && !m_unbroken && !m_accepted) {
+    if (m_caughtUp && !m_isComplete && !m_accepted) {
         acceptRestart();
     }
     return notes;
@@ -90,7 +90,7 @@
 /// decide which of several concurrent publications was accepted.
 void BundleFold::recordGap(LogOffset firstOffset)
 {
-    m_unbroken = false;
+    m_isComplete = false;
     m_undecided.clear();
     m_viewStart = firstOffset;
     m_next = firstOffset;
@@ -130,7 +130,7 @@
 
 FoldNote BundleFold::applyPublication(Publication publication)
 {
-    if (m_unbroken) {
+    if (m_isComplete) {
         return evaluate(publication);
     }
     FoldNote note = makeNote(publication.offset, publication.nonce, FoldVerdict::Waiting,
@@ -167,7 +167,7 @@
     entry.offset = publication.offset;
     entry.acceptedAt = publication.appendedAt;
     m_history.push_back(entry);
-    if (m_history.size() > MostHistory) {
+    if (m_history.size() > MaxHistory) {
         m_history.erase(m_history.begin());
     }
     m_accepted = AcceptedBundle{publication.bundle, std::move(entry)};
@@ -187,7 +187,7 @@
         return verdict(FoldVerdict::Refused,
                        "the checkpoint is inconsistent with its bundle or offset");
     }
-    if (!m_unbroken) {
+    if (!m_isComplete) {
         if (checkpoint.asOf < m_viewStart) {
             return verdict(FoldVerdict::Waiting,
                            "the log dropped records after the checkpoint's offset");
@@ -220,7 +220,7 @@
 {
     m_accepted = AcceptedBundle{repeated.bundle, checkpoint.history.back()};
     m_history = checkpoint.history;
-    m_unbroken = true;
+    m_isComplete = true;
     replay(checkpoint.asOf);
 }
 
@@ -246,14 +246,14 @@
     if (first != m_undecided.end()) {
         const LogOffset after = first->offset + 1;
         accept(*first);
-        m_unbroken = true;
+        m_isComplete = true;
         replay(after);
     }
 }
 
 std::optional<BundleRecord> BundleFold::checkpointDue(WallTime wallNow, Duration retention) const
 {
-    if (!m_accepted || !m_unbroken || !m_caughtUp) {
+    if (!m_accepted || !m_isComplete || !m_caughtUp) {
         return std::nullopt;
     }
     const WallTime checkpointAt = m_checkpointAt.value_or(m_history.front().acceptedAt);
--- a/src/vanilladyke/policy/bundle_fold_test.cpp
+++ b/src/vanilladyke/policy/bundle_fold_test.cpp
@@ -197,7 +197,7 @@
     log.drop(2);
     readAll(lagging, log);
     EXPECT_EQ(versionOf(lagging), 1U);
-    EXPECT_FALSE(lagging.unbroken());
+    EXPECT_FALSE(lagging.isComplete());
     log.append(writeBundleRecord(*current.checkpointDue(WallTime(Retention), Retention)));
     readAll(lagging, log);
     EXPECT_EQ(acceptedDigest(lagging), digestOf(winner));
@@ -380,7 +380,7 @@
             if (!m_digests[i].empty()) {
                 RC_ASSERT(position(digest) >= position(m_digests[i]));
             }
-            if (reader.unbroken() && reader.next() == m_witness.next()) {
+            if (reader.isComplete() && reader.next() == m_witness.next()) {
                 RC_ASSERT(digest == acceptedDigest(m_witness));
             }
             m_digests[i] = digest;
