--- a/include/vanilladyke/policy/weights_announcements.hpp
+++ b/include/vanilladyke/policy/weights_announcements.hpp
@@ -31,7 +31,7 @@
 
 /// @brief Where the lower bound comes from, the least reliable source first.
 enum class AnnouncementSource {
-    Estimated, ///< estimated: the node has just started and found the weights in the store
+    Estimated, ///< the node has just started and found the weights in the store
     Reported,  ///< received from another node; too late by the time of the transfer
     Read,      ///< from this node's own reads of the store
 };
@@ -52,7 +52,7 @@
                                                       Duration allowed) const;
     /// @brief Whether any node had received a newer version before @p time.
     [[nodiscard]] bool isSuperseded(std::uint64_t version, TimePoint time) const;
-    /// @return the newest announced version; 0 if there is none
+    /// @return the newest announced version; 0 if none was announced
     [[nodiscard]] std::uint64_t newest() const;
     /// @brief The bounds to send to other nodes; excludes estimates.
     [[nodiscard]] std::vector<WeightsAnnouncement> reportable() const;
@@ -69,7 +69,8 @@
     [[nodiscard]] Entries::iterator lowerBound(std::uint64_t version);
     [[nodiscard]] static bool improve(Entry *entry, const WeightsAnnouncement &announcement,
                                       AnnouncementSource source);
-    /// Removes versions older than one whose own deadline has passed: they affect no deadline.
+    /// Removes versions older than one announced more than @p allowed ago: they no longer affect a
+    /// deadline.
     void removeObsolete(TimePoint now, Duration allowed);
 
     Entries m_entries; ///< oldest version first
--- a/src/vanilladyke/policy/bundle_fold_test.cpp
+++ b/src/vanilladyke/policy/bundle_fold_test.cpp
@@ -372,9 +372,9 @@
         for (std::size_t i = 0; i < m_readers.size(); ++i) {
             const BundleFold &reader = m_readers[i];
             const std::string digest = acceptedDigest(reader);
-            const auto position = [&](const std::string &wanted) {
+            const auto position = [&](const std::string &target) {
                 return std::find_if(history.begin(), history.end(),
-                                    [&](const auto &entry) { return entry.digest == wanted; });
+                                    [&](const auto &entry) { return entry.digest == target; });
             };
             RC_ASSERT(digest.empty() || position(digest) != history.end());
             if (!m_digests[i].empty()) {
--- a/src/vanilladyke/policy/order_lease_test.cpp
+++ b/src/vanilladyke/policy/order_lease_test.cpp
@@ -164,9 +164,9 @@
         if (m_now < m_storeDownUntil) {
             return;
         }
-        const bool wants = uniform(m_random) < 0.97;
+        const bool needsLease = uniform(m_random) < 0.97;
         if (const auto append =
-                    node.lease.nextAppend(wants, milliseconds(0), {{theEngine}, {}}, m_now)) {
+                    node.lease.nextAppend(needsLease, milliseconds(0), {{theEngine}, {}}, m_now)) {
             exchange(node, *append);
         } else if (node.lease.needsRead() || !node.lease.mayOrder(m_now)) {
             node.lease.logRead(m_log.size(),
--- a/src/vanilladyke/policy/weights_announcements.cpp
+++ b/src/vanilladyke/policy/weights_announcements.cpp
@@ -18,8 +18,8 @@
 WeightsAnnouncements::Entries::iterator WeightsAnnouncements::lowerBound(std::uint64_t version)
 {
     return std::lower_bound(m_entries.begin(), m_entries.end(), version,
-                            [](const Entry &entry, std::uint64_t wanted) {
-                                return entry.announcement.version < wanted;
+                            [](const Entry &entry, std::uint64_t target) {
+                                return entry.announcement.version < target;
                             });
 }
 
