--- a/include/vanilladyke/policy/engine_reachability.hpp
+++ b/include/vanilladyke/policy/engine_reachability.hpp
@@ -32,10 +32,10 @@
     void failed(const EngineId &engine, TimePoint now);
     /// @brief Whether, for UnreachableAfter, no engine answered, or more engines were unresponsive
     /// than answered.
-    [[nodiscard]] bool isLost(TimePoint now) const;
+    [[nodiscard]] bool isUnreachable(TimePoint now) const;
     /// @brief Discards all results, when there are no more orders to send: they will be out of date
     /// when the next orders are due.
-    void forget();
+    void reset();
     /// @brief Records that this node releases the lease because the engines are unreachable.
     void leaseReleased(TimePoint now);
     /// @brief Whether this node does not claim the lease at @p now.
--- a/src/vanilladyke/node/weights_controller.cpp
+++ b/src/vanilladyke/node/weights_controller.cpp
@@ -100,7 +100,7 @@
 bool WeightsController::wantsToOrder(TimePoint now)
 {
     const bool mayOrder = m_lease.mayOrder(now);
-    if (mayOrder && m_otherNodes > 0 && m_reach.isLost(now)) {
+    if (mayOrder && m_otherNodes > 0 && m_reach.isUnreachable(now)) {
         LogEvent("lease_handed_on", Severity::Warning)
                 .field("reason", "engines_silent")
                 .field("failures", m_reach.failures());
@@ -119,7 +119,7 @@
         m_loads.clear();
         m_wantsSince.reset();
         m_hasLooked = false;
-        m_reach.forget();
+        m_reach.reset();
     } else if (!m_wantsSince) {
         m_wantsSince = now;
         m_readAt = now; // what was put off then was about other weights
--- a/src/vanilladyke/policy/engine_reachability.cpp
+++ b/src/vanilladyke/policy/engine_reachability.cpp
@@ -37,7 +37,7 @@
     return unresponsive >= MinFailures && 2 * unresponsive > size;
 }
 
-bool EngineReachability::isLost(TimePoint now) const
+bool EngineReachability::isUnreachable(TimePoint now) const
 {
     const bool areAllUnresponsive =
             m_failures >= MinFailures && now - m_unansweredSince >= UnreachableAfter;
@@ -48,10 +48,10 @@
 void EngineReachability::leaseReleased(TimePoint now)
 {
     m_pausedUntil = now + ReleasePause;
-    forget();
+    reset();
 }
 
-void EngineReachability::forget()
+void EngineReachability::reset()
 {
     m_failures = 0;
     m_hasAnswered.clear();
