--- a/include/vanilladyke/policy/record_relay.hpp
+++ b/include/vanilladyke/policy/record_relay.hpp
@@ -41,26 +41,26 @@
     /// @brief The topic was listed: the single changes before @p next are unknown.
     void restart(std::uint64_t next);
     /// @brief The topic was listed, and removals of keys are irrelevant to the readers: the newest
-    /// record of each key, passed to changed() after this call, is the complete state.
-    void restartWithAll(std::uint64_t next);
+    /// record of each key, passed to addChange() after this call, is the complete state.
+    void restartWithListing(std::uint64_t next);
     /// @brief Adds a record that changed the state of the topic.
     /// @param key the record replaces an older one with this key; empty: it replaces none
-    void changed(std::uint64_t offset, std::string record, const std::string &key = {});
+    void addChange(std::uint64_t offset, std::string record, const std::string &key = {});
     /// @brief Records that all before @p next was read.
     void readUpTo(std::uint64_t next) { m_next = next; }
     /// @brief Adds a freshness proof: at that time no later records than those read existed.
-    void proved(TimePoint at);
+    void addFreshnessProof(TimePoint at);
     /// @brief The changes from an offset on.
     /// @return none if the buffered changes don't reach back to @p offset, there is no freshness
     /// proof, or the changes exceed @p maxBytes
-    [[nodiscard]] std::optional<Updates> since(std::uint64_t offset, std::size_t maxBytes,
-                                               TimePoint now) const;
+    [[nodiscard]] std::optional<Updates> changesSince(std::uint64_t offset, std::size_t maxBytes,
+                                                      TimePoint now) const;
 
 private:
     std::deque<Change> m_changes;
     std::uint64_t m_first = 0; ///< from here on, all single changes are known
     std::uint64_t m_next = 0;
-    std::optional<TimePoint> m_provedAt;
+    std::optional<TimePoint> m_provedFreshAt;
 };
 
 } // namespace vanilladyke
--- a/src/vanilladyke/node/state_follower.cpp
+++ b/src/vanilladyke/node/state_follower.cpp
@@ -120,8 +120,8 @@
 SharedNews StateFollower::newsSince(std::uint64_t operatorNext, std::uint64_t backendsNext) const
 {
     const TimePoint now = BootClock::now();
-    return {m_operator.relay.since(operatorNext, MostSharedBytes, now),
-            m_backends.relay.since(backendsNext, MostSharedBytes, now)};
+    return {m_operator.relay.changesSince(operatorNext, MostSharedBytes, now),
+            m_backends.relay.changesSince(backendsNext, MostSharedBytes, now)};
 }
 
 asio::awaitable<void> StateFollower::pause(Duration span)
@@ -226,7 +226,7 @@
         m_backends.next = news.backends->next;
         m_backends.relay.readUpTo(m_backends.next);
         m_backends.provedAt = std::max(m_backends.provedAt, askedAt - news.backends->age);
-        m_backends.relay.proved(m_backends.provedAt);
+        m_backends.relay.addFreshnessProof(m_backends.provedAt);
     }
 }
 
@@ -257,7 +257,7 @@
     // While another node knows of more, the store has left a record out of an answer.
     if (at > m_operator.provedAt && m_operator.next >= m_heardNext) {
         m_operator.provedAt = at;
-        m_operator.relay.proved(at);
+        m_operator.relay.addFreshnessProof(at);
         m_listener.configurationProved(at);
     }
 }
@@ -294,11 +294,12 @@
     const bool hasProof = m_operator.provedAt != TimePoint::min();
     const auto age =
             hasProof ? std::optional(BootClock::now() - m_operator.provedAt) : std::nullopt;
-    m_operator.relay.restartWithAll(newest->end);
+    m_operator.relay.restartWithListing(newest->end);
     knowOperatorUpTo(newest->end);
     for (const KeyedRecord &record : newest->items) {
         m_translator.applyOperator(record, age, m_listener);
-        m_operator.relay.changed(record.offset, packRecord(m_translator.join(record)), record.key);
+        m_operator.relay.addChange(record.offset, packRecord(m_translator.join(record)),
+                                   record.key);
     }
     m_listedAt = sentAt;
     proveOperator(sentAt);
@@ -408,7 +409,7 @@
     if (keyed) {
         m_translator.applyOperator(*keyed, age, m_listener);
     }
-    m_operator.relay.changed(offset, packRecord(record), keyed ? keyed->key : std::string());
+    m_operator.relay.addChange(offset, packRecord(record), keyed ? keyed->key : std::string());
 }
 
 asio::awaitable<bool> StateFollower::listBackends()
@@ -428,7 +429,7 @@
     m_backends.next = newest->end;
     m_backends.relay.restart(newest->end);
     m_backends.provedAt = sentAt;
-    m_backends.relay.proved(sentAt);
+    m_backends.relay.addFreshnessProof(sentAt);
     co_return true;
 }
 
@@ -485,7 +486,7 @@
     m_backends.relay.readUpTo(m_backends.next);
     if (m_backends.next >= page->end) {
         m_backends.provedAt = std::max(m_backends.provedAt, sentAt);
-        m_backends.relay.proved(sentAt);
+        m_backends.relay.addFreshnessProof(sentAt);
     }
 }
 
@@ -493,7 +494,7 @@
 {
     const auto keyed = m_translator.split(record);
     if (keyed && m_translator.applyBackend(*keyed, m_listener)) {
-        m_backends.relay.changed(offset, std::move(record));
+        m_backends.relay.addChange(offset, std::move(record));
     }
 }
 
--- a/src/vanilladyke/policy/record_relay.cpp
+++ b/src/vanilladyke/policy/record_relay.cpp
@@ -11,13 +11,13 @@
     m_next = next;
 }
 
-void RecordRelay::restartWithAll(std::uint64_t next)
+void RecordRelay::restartWithListing(std::uint64_t next)
 {
     restart(next);
     m_first = 0;
 }
 
-void RecordRelay::changed(std::uint64_t offset, std::string record, const std::string &key)
+void RecordRelay::addChange(std::uint64_t offset, std::string record, const std::string &key)
 {
     // Only the newest record of a key is kept, so that several changes of a key in quick succession
     // still fit into a datagram.
@@ -32,20 +32,20 @@
     }
 }
 
-void RecordRelay::proved(TimePoint at)
+void RecordRelay::addFreshnessProof(TimePoint at)
 {
-    m_provedAt = m_provedAt ? std::max(*m_provedAt, at) : at;
+    m_provedFreshAt = m_provedFreshAt ? std::max(*m_provedFreshAt, at) : at;
 }
 
-std::optional<RecordRelay::Updates> RecordRelay::since(std::uint64_t offset, std::size_t maxBytes,
-                                                       TimePoint now) const
+std::optional<RecordRelay::Updates>
+RecordRelay::changesSince(std::uint64_t offset, std::size_t maxBytes, TimePoint now) const
 {
-    if (!m_provedAt || offset < m_first) {
+    if (!m_provedFreshAt || offset < m_first) {
         return std::nullopt;
     }
     Updates updates;
     updates.next = std::max(offset, m_next);
-    updates.age = now - *m_provedAt;
+    updates.age = now - *m_provedFreshAt;
     const auto begin = std::lower_bound(
             m_changes.begin(), m_changes.end(), offset,
             [](const Change &change, std::uint64_t from) { return change.offset < from; });
--- a/src/vanilladyke/policy/shared_reading_test.cpp
+++ b/src/vanilladyke/policy/shared_reading_test.cpp
@@ -169,32 +169,32 @@
 TEST(RecordRelay, ReturnsTheChangesAndTheAgeOfTheFreshnessProof)
 {
     RecordRelay relay;
-    EXPECT_FALSE(relay.since(0, NoSizeLimit, at(0))) << "nothing was read yet";
+    EXPECT_FALSE(relay.changesSince(0, NoSizeLimit, at(0))) << "nothing was read yet";
     relay.restart(10);
-    relay.proved(at(0));
-    relay.changed(12, "a");
-    relay.changed(15, "b");
+    relay.addFreshnessProof(at(0));
+    relay.addChange(12, "a");
+    relay.addChange(15, "b");
     relay.readUpTo(20);
-    relay.proved(at(100));
-    const auto updates = relay.since(13, NoSizeLimit, at(150));
+    relay.addFreshnessProof(at(100));
+    const auto updates = relay.changesSince(13, NoSizeLimit, at(150));
     ASSERT_TRUE(updates);
     EXPECT_EQ(updates->next, 20U);
     EXPECT_EQ(updates->age, std::chrono::milliseconds(50));
     ASSERT_EQ(updates->changes.size(), 1U);
     EXPECT_EQ(updates->changes[0].record, "b");
-    EXPECT_FALSE(relay.since(9, NoSizeLimit, at(150)))
+    EXPECT_FALSE(relay.changesSince(9, NoSizeLimit, at(150)))
             << "the topic was listed, single changes are unknown";
-    EXPECT_FALSE(relay.since(11, 1, at(150))) << "too large for a datagram";
+    EXPECT_FALSE(relay.changesSince(11, 1, at(150))) << "too large for a datagram";
 }
 
-// The querying node is ahead, since it read the store itself in the meantime. The freshness proof
-// applies to it, too.
+// The querying node is ahead, since it read the store itself in the meantime. The freshness
+// proof applies to it, too.
 TEST(RecordRelay, ANodeThatIsAheadGetsOnlyTheFreshnessProof)
 {
     RecordRelay relay;
     relay.restart(10);
-    relay.proved(at(0));
-    const auto updates = relay.since(14, NoSizeLimit, at(10));
+    relay.addFreshnessProof(at(0));
+    const auto updates = relay.changesSince(14, NoSizeLimit, at(10));
     ASSERT_TRUE(updates);
     EXPECT_EQ(updates->next, 14U);
     EXPECT_TRUE(updates->changes.empty());
@@ -206,12 +206,12 @@
 {
     RecordRelay relay;
     relay.restart(10);
-    relay.proved(at(0));
-    relay.changed(11, std::string(90, 'a'), "config");
-    relay.changed(12, "v", "version/m");
-    relay.changed(13, std::string(90, 'b'), "config");
+    relay.addFreshnessProof(at(0));
+    relay.addChange(11, std::string(90, 'a'), "config");
+    relay.addChange(12, "v", "version/m");
+    relay.addChange(13, std::string(90, 'b'), "config");
     relay.readUpTo(14);
-    const auto updates = relay.since(10, 100, at(1));
+    const auto updates = relay.changesSince(10, 100, at(1));
     ASSERT_TRUE(updates);
     ASSERT_EQ(updates->changes.size(), 2U);
     EXPECT_EQ(updates->changes[0].offset, 12U);
@@ -223,29 +223,29 @@
 TEST(RecordRelay, AfterAListingOfAllKeysNoNodeIsTooFarBehind)
 {
     RecordRelay relay;
-    relay.restartWithAll(40);
-    relay.changed(30, "c", "config");
-    relay.changed(7, "v", "version/m");
-    relay.proved(at(0));
-    const auto updates = relay.since(3, NoSizeLimit, at(1));
+    relay.restartWithListing(40);
+    relay.addChange(30, "c", "config");
+    relay.addChange(7, "v", "version/m");
+    relay.addFreshnessProof(at(0));
+    const auto updates = relay.changesSince(3, NoSizeLimit, at(1));
     ASSERT_TRUE(updates);
     EXPECT_EQ(updates->next, 40U);
     ASSERT_EQ(updates->changes.size(), 2U);
     EXPECT_EQ(updates->changes[0].offset, 7U) << "sorted by offset";
-    EXPECT_EQ(relay.since(31, NoSizeLimit, at(1))->changes.size(), 0U);
+    EXPECT_EQ(relay.changesSince(31, NoSizeLimit, at(1))->changes.size(), 0U);
 }
 
 TEST(RecordRelay, ChangesThatWereDroppedAreNotSkipped)
 {
     RecordRelay relay;
     relay.restart(0);
-    relay.proved(at(0));
+    relay.addFreshnessProof(at(0));
     for (std::uint64_t offset = 0; offset < RecordRelay::MaxChanges + 5; ++offset) {
-        relay.changed(offset, "x");
+        relay.addChange(offset, "x");
     }
     relay.readUpTo(RecordRelay::MaxChanges + 5);
-    EXPECT_FALSE(relay.since(4, NoSizeLimit, at(1)));
-    EXPECT_EQ(relay.since(5, NoSizeLimit, at(1))->changes.size(), RecordRelay::MaxChanges);
+    EXPECT_FALSE(relay.changesSince(4, NoSizeLimit, at(1)));
+    EXPECT_EQ(relay.changesSince(5, NoSizeLimit, at(1))->changes.size(), RecordRelay::MaxChanges);
 }
 
 // Fifty nodes follow a log in which every third record is a change. They read the store or query
@@ -264,13 +264,13 @@
         std::vector<Follower> followers(50);
         for (Follower &each : followers) {
             each.relay.restart(0);
-            each.relay.proved(at(0));
+            each.relay.addFreshnessProof(at(0));
         }
         std::uint64_t end = 0;
         const auto isChange = [](std::uint64_t offset) { return offset % 3 == 0; };
         const auto apply = [](Follower &follower, std::uint64_t offset) {
             follower.known.insert(offset);
-            follower.relay.changed(offset, "r");
+            follower.relay.addChange(offset, "r");
         };
         for (int step = 0; step < 4000; ++step) {
             end += uniformBelow(random, 3);
@@ -293,7 +293,7 @@
                 follower.relay.restart(end);
             } else {
                 const Follower &asked = followers[uniformBelow(random, followers.size())];
-                const auto updates = asked.relay.since(follower.next, NoSizeLimit, at(step));
+                const auto updates = asked.relay.changesSince(follower.next, NoSizeLimit, at(step));
                 if (updates && &asked != &follower) {
                     for (const RecordRelay::Change &change : updates->changes) {
                         apply(follower, change.offset);
