--- a/include/vanilladyke/node/weights_controller.hpp
+++ b/include/vanilladyke/node/weights_controller.hpp
@@ -4,7 +4,7 @@
 #include "vanilladyke/node/ports.hpp"
 #include "vanilladyke/node/store_calls.hpp"
 #include "vanilladyke/policy/backend_roster.hpp"
-#include "vanilladyke/policy/lease_reach.hpp"
+#include "vanilladyke/policy/engine_reachability.hpp"
 #include "vanilladyke/policy/weights_rollout.hpp"
 
 #include <set>
@@ -94,7 +94,7 @@
     /// Whether this node's turn to claim has come, and it has seen what those before it did.
     [[nodiscard]] bool mayClaim(TimePoint now);
     void sawLease(const LeaseLogState &state);
-    [[nodiscard]] LeaseNews leaseNews(TimePoint now) const;
+    [[nodiscard]] LeaseUpdate leaseNews(TimePoint now) const;
     void startLoads(TimePoint now);
     void stepLoad(const EngineId &id, Load &load, TimePoint now);
     void reported(const EngineId &id, const std::optional<EngineReport> &report);
@@ -131,7 +131,7 @@
     bool m_hasLooked = false;              ///< at the lease's log since then
     bool m_isReading = false;
     TimePoint m_readAt;
-    LeaseReach m_reach;
+    EngineReachability m_reach;
     std::size_t m_otherNodes = 0;
     TimePoint m_loggedAt;
 };
--- a/src/vanilladyke/node/control_plane.cpp
+++ b/src/vanilladyke/node/control_plane.cpp
@@ -54,10 +54,11 @@
         });
     };
     news.aged = [this](const WeightsAge &weights) {
-        const TimePoint knownAt = MonotonicClock::now() - weights.age;
-        const NamedWeights named{weights.model, {weights.version, knownAt, knownAt}};
+        const TimePoint firstReceivedAt = MonotonicClock::now() - weights.age;
+        const NamedWeights named{weights.model,
+                                 {weights.version, firstReceivedAt, firstReceivedAt}};
         tell([named](TrafficState &traffic) {
-            traffic.recordWeightsDate(named, DateGrounds::Told, "lease");
+            traffic.recordWeightsDate(named, AnnouncementSource::Reported, "lease");
         });
     };
     return news;
@@ -130,7 +131,7 @@
     if (age) {
         const NamedWeights named{model, {version, now - *age, now}};
         tell([named](TrafficState &traffic) {
-            traffic.recordWeightsDate(named, DateGrounds::Read, "record");
+            traffic.recordWeightsDate(named, AnnouncementSource::Read, "record");
         });
         return;
     }
@@ -139,7 +140,7 @@
     const TimePoint guess = now - m_traffic.settings.rates.weightsTime / 2;
     const NamedWeights named{model, {version, guess, guess}};
     tell([named](TrafficState &traffic) {
-        traffic.recordWeightsDate(named, DateGrounds::Guess, "guess");
+        traffic.recordWeightsDate(named, AnnouncementSource::Estimated, "guess");
     });
 }
 
--- a/src/vanilladyke/node/load_sharing.cpp
+++ b/src/vanilladyke/node/load_sharing.cpp
@@ -44,8 +44,8 @@
     out->set_model(weights.model.str());
     out->set_version(weights.date.version);
     // Rounded up: the receiver's bound must not be later than this node's.
-    out->set_named_age_ms(millis(std::min(now - weights.date.namedAfter, OldestTold)) + 1);
-    out->set_known_age_ms(millis(std::min(now - weights.date.knownAt, OldestTold)));
+    out->set_named_age_ms(millis(std::min(now - weights.date.announcedAfter, OldestTold)) + 1);
+    out->set_known_age_ms(millis(std::min(now - weights.date.firstReceivedAt, OldestTold)));
 }
 
 NamedWeights read(const wire::NamedWeights &weights, TimePoint now)
@@ -219,13 +219,13 @@
     const auto recipients = m_routes.recipients(m_state.random, now);
     m_port.send(message.SerializeAsString(), recipients.direct);
     message.set_pass_on(true);
-    m_port.send(message.SerializeAsString(), recipients.passOn);
+    m_port.send(message.SerializeAsString(), recipients.forwarders);
 }
 
 void LoadSharing::passOn(wire::NodeLoad message)
 {
     message.set_pass_on(false);
-    m_port.send(message.SerializeAsString(), m_routes.beside());
+    m_port.send(message.SerializeAsString(), m_routes.inSameDataCentre());
 }
 
 void LoadSharing::forgetSilent(TimePoint now)
@@ -254,7 +254,7 @@
     const TimePoint now = MonotonicClock::now();
     heard.sequence = message.sequence();
     heard.at = now;
-    if (m_routes.heard(*origin, message.data_centre(), now)) {
+    if (m_routes.nodeSeen(*origin, message.data_centre(), now)) {
         countPeers(); // it came after the list was read
     }
     if (message.pass_on()) {
@@ -271,7 +271,7 @@
         heardOperatorNext(m_heardOperatorNext);
     }
     for (const wire::NamedWeights &each : message.named_weights()) {
-        m_state.recordWeightsDate(read(each, now), DateGrounds::Told, "peer");
+        m_state.recordWeightsDate(read(each, now), AnnouncementSource::Reported, "peer");
     }
     std::vector<BackendLoadNews> news;
     news.reserve(static_cast<std::size_t>(message.backends_size()));
--- a/src/vanilladyke/node/state_follower.cpp
+++ b/src/vanilladyke/node/state_follower.cpp
@@ -109,7 +109,7 @@
 void StateFollower::heardNode(std::uint64_t node, std::uint64_t dataCentre,
                               const Endpoint &endpoint)
 {
-    m_turn.heard(node, dataCentre, endpoint, BootClock::now());
+    m_turn.nodeSeen(node, dataCentre, endpoint, BootClock::now());
 }
 
 std::optional<std::size_t> StateFollower::standbyRank() const
@@ -121,8 +121,8 @@
 SharedNews StateFollower::newsSince(std::uint64_t operatorNext, std::uint64_t backendsNext) const
 {
     const TimePoint now = BootClock::now();
-    return {m_operator.relay.since(operatorNext, MostSharedBytes, now),
-            m_backends.relay.since(backendsNext, MostSharedBytes, now)};
+    return {m_operator.relay.changesSince(operatorNext, MostSharedBytes, now),
+            m_backends.relay.changesSince(backendsNext, MostSharedBytes, now)};
 }
 
 asio::awaitable<void> StateFollower::pause(Duration span)
@@ -144,7 +144,7 @@
 {
     const TimePoint now = BootClock::now();
     return m_ask && topic.isListed && !topic.mustRead && now - topic.provedAt < limit
-           && m_turn.whomToAsk(now);
+           && m_turn.readerToAsk(now);
 }
 
 CallCause StateFollower::whyRead(const Topic &topic) const
@@ -155,7 +155,7 @@
     if (topic.mustRead) {
         return CallCause::PeerCouldNotTell;
     }
-    if (m_turn.whomToAsk(BootClock::now())) {
+    if (m_turn.readerToAsk(BootClock::now())) {
         return CallCause::OldProof;
     }
     return readsForOthers() ? CallCause::ForOthers : CallCause::Alone;
@@ -163,7 +163,7 @@
 
 bool StateFollower::readsForOthers() const
 {
-    return m_ask && m_turn.size() + 1 >= ReadingTurn::LeastNodes;
+    return m_ask && m_turn.size() + 1 >= StoreReaderSelection::MinNodes;
 }
 
 asio::awaitable<void> StateFollower::askOthers()
@@ -171,20 +171,20 @@
     while (!m_stopped) {
         co_await pause(spanOfSeconds(secondsOf(AskEvery) * (0.75 + uniform(m_random) / 2)));
         const TimePoint askedAt = BootClock::now();
-        const auto whom = m_turn.whomToAsk(askedAt);
+        const auto whom = m_turn.readerToAsk(askedAt);
         if (!m_ask || !whom || !m_operator.isListed || !m_backends.isListed) {
             continue;
         }
         const Endpoint reader = m_turn.endpointOf(*whom);
         const auto news = co_await m_ask(reader, m_operator.next, m_backends.next);
         if (!news) {
-            m_turn.doubt(*whom, BootClock::now());
+            m_turn.backOff(*whom, BootClock::now());
             LogEvent("reader_doubted").field("reader", reader.str());
             continue;
         }
         if (isBehind(*news)) {
             // It answers, but doesn't reach the store: all who go on asking it would read instead.
-            m_turn.doubt(*whom, BootClock::now());
+            m_turn.backOff(*whom, BootClock::now());
             LogEvent("reader_behind").field("reader", reader.str());
         } else {
             m_turn.answered(*whom);
@@ -195,14 +195,14 @@
 
 bool StateFollower::isBehind(const SharedNews &news) const
 {
-    const auto isOld = [](const std::optional<RecordRelay::News> &topic, Duration oldest) {
+    const auto isOld = [](const std::optional<RecordRelay::Updates> &topic, Duration oldest) {
         return topic && topic->age >= oldest;
     };
     return isOld(news.configuration, partOf(m_terms.apply, OldestSharedPart))
            || isOld(news.backends, partOf(m_terms.drain, BackendsPart));
 }
 
-void StateFollower::mustRead(Topic *topic, const std::optional<RecordRelay::News> &news,
+void StateFollower::mustRead(Topic *topic, const std::optional<RecordRelay::Updates> &news,
                              TimePoint askedAt)
 {
     // A call of this node's own that is under way, or came after the question, tells already.
@@ -227,11 +227,11 @@
         m_backends.next = news.backends->next;
         m_backends.relay.readUpTo(m_backends.next);
         m_backends.provedAt = std::max(m_backends.provedAt, askedAt - news.backends->age);
-        m_backends.relay.proved(m_backends.provedAt);
+        m_backends.relay.addFreshnessProof(m_backends.provedAt);
     }
 }
 
-void StateFollower::takeOperator(const RecordRelay::News &news, TimePoint askedAt)
+void StateFollower::takeOperator(const RecordRelay::Updates &news, TimePoint askedAt)
 {
     // All that was written before the last proof is known: what comes now is younger.
     const Duration age = BootClock::now() - m_operator.provedAt;
@@ -258,7 +258,7 @@
     // While another node knows of more, the store has left a record out of an answer.
     if (at > m_operator.provedAt && m_operator.next >= m_heardNext) {
         m_operator.provedAt = at;
-        m_operator.relay.proved(at);
+        m_operator.relay.addFreshnessProof(at);
         m_listener.configurationProved(at);
     }
 }
@@ -295,11 +295,12 @@
     const bool hasProof = m_operator.provedAt != TimePoint::min();
     const auto age =
             hasProof ? std::optional(BootClock::now() - m_operator.provedAt) : std::nullopt;
-    m_operator.relay.restartWithAll(newest->end);
+    m_operator.relay.restartWithListing(newest->end);
     knowOperatorUpTo(newest->end);
     for (const KeyedRecord &record : newest->items) {
         m_translator.applyOperator(record, age, m_listener);
-        m_operator.relay.changed(record.offset, packRecord(m_translator.join(record)), record.key);
+        m_operator.relay.addChange(record.offset, packRecord(m_translator.join(record)),
+                                   record.key);
     }
     m_listedAt = sentAt;
     proveOperator(sentAt);
@@ -409,7 +410,7 @@
     if (keyed) {
         m_translator.applyOperator(*keyed, age, m_listener);
     }
-    m_operator.relay.changed(offset, packRecord(record), keyed ? keyed->key : std::string());
+    m_operator.relay.addChange(offset, packRecord(record), keyed ? keyed->key : std::string());
 }
 
 asio::awaitable<bool> StateFollower::listBackends()
@@ -429,7 +430,7 @@
     m_backends.next = newest->end;
     m_backends.relay.restart(newest->end);
     m_backends.provedAt = sentAt;
-    m_backends.relay.proved(sentAt);
+    m_backends.relay.addFreshnessProof(sentAt);
     co_return true;
 }
 
@@ -486,7 +487,7 @@
     m_backends.relay.readUpTo(m_backends.next);
     if (m_backends.next >= page->end) {
         m_backends.provedAt = std::max(m_backends.provedAt, sentAt);
-        m_backends.relay.proved(sentAt);
+        m_backends.relay.addFreshnessProof(sentAt);
     }
 }
 
@@ -494,7 +495,7 @@
 {
     const auto keyed = m_translator.split(record);
     if (keyed && m_translator.applyBackend(*keyed, m_listener)) {
-        m_backends.relay.changed(offset, std::move(record));
+        m_backends.relay.addChange(offset, std::move(record));
     }
 }
 
--- a/src/vanilladyke/policy/backend_book.cpp
+++ b/src/vanilladyke/policy/backend_book.cpp
@@ -194,7 +194,8 @@
     });
 }
 
-bool BackendBook::weightsNamed(const NamedWeights &weights, DateGrounds grounds, TimePoint now)
+bool BackendBook::weightsNamed(const NamedWeights &weights, AnnouncementSource grounds,
+                               TimePoint now)
 {
     return m_weightsDates[weights.model].add(weights.date, grounds, now, m_rates.weightsTime);
 }
@@ -203,7 +204,7 @@
 {
     std::vector<NamedWeights> result;
     for (const auto &[model, dates] : m_weightsDates) {
-        for (const WeightsDate &date : dates.toTell()) {
+        for (const WeightsAnnouncement &date : dates.reportable()) {
             result.push_back({model, date});
         }
     }
--- a/src/vanilladyke/policy/backend_choice.cpp
+++ b/src/vanilladyke/policy/backend_choice.cpp
@@ -42,16 +42,16 @@
     if (state == m_states.end() || dates == m_weightsDates.end()) {
         return std::nullopt;
     }
-    return dates->second.endOf(weightsOf(state->second, model), m_rates.weightsTime);
+    return dates->second.deadlineOf(weightsOf(state->second, model), m_rates.weightsTime);
 }
 
-bool BackendBook::mayBegin(const State &state, const BackendQuery &query, const WeightsDates *dates,
-                           TimePoint now) const
+bool BackendBook::mayBegin(const State &state, const BackendQuery &query,
+                           const WeightsAnnouncements *dates, TimePoint now) const
 {
     if (dates == nullptr) {
         return true;
     }
-    const auto end = dates->endOf(weightsOf(state, query.model), m_rates.weightsTime);
+    const auto end = dates->deadlineOf(weightsOf(state, query.model), m_rates.weightsTime);
     if (!end) {
         return true;
     }
@@ -94,7 +94,7 @@
 }
 
 Millis BackendBook::chargesOf(const State &state, const BackendQuery &query,
-                              const WeightsDates *dates, TimePoint now) const
+                              const WeightsAnnouncements *dates, TimePoint now) const
 {
     const std::uint64_t weights = weightsOf(state, query.model);
     Millis charges = state.entry.dataCentre == m_here ? Millis::zero() : m_rates.otherCentre;
@@ -108,7 +108,7 @@
     if (state.limit.perSecond()) {
         charges += m_rates.limitedCost * state.limit.scarcity(now);
     }
-    if (dates != nullptr && dates->isReplaced(weights, now - OldWeightsGrace)) {
+    if (dates != nullptr && dates->isSuperseded(weights, now - OldWeightsGrace)) {
         charges += m_rates.oldWeightsPart * Millis(query.target);
     }
     return charges;
@@ -171,8 +171,9 @@
     return state.limit.opensAt(now);
 }
 
-BackendBook::Weighed BackendBook::weigh(const BackendQuery &query, const WeightsDates *dates,
-                                        std::size_t more, TimePoint now, NoBackend *none) const
+BackendBook::Weighed BackendBook::weigh(const BackendQuery &query,
+                                        const WeightsAnnouncements *dates, std::size_t more,
+                                        TimePoint now, NoBackend *none) const
 {
     const std::vector<const State *> &all = m_byService.at(query.service);
     const bool hasHome = query.hasHome();
@@ -308,7 +309,7 @@
     }
     const auto datesFound = m_weightsDates.find(query.model);
     const bool hasDates = !query.model.empty() && datesFound != m_weightsDates.end();
-    const WeightsDates *dates = hasDates ? &datesFound->second : nullptr;
+    const WeightsAnnouncements *dates = hasDates ? &datesFound->second : nullptr;
     NoBackend none{true, now + LongestClose};
     std::optional<BackendChoice> chosen = best(query, weigh(query, dates, 0, now, &none), now);
     const Millis mostWait = m_rates.mostWaitTargets * Millis(query.target);
--- a/src/vanilladyke/traffic/exchange_test.cpp
+++ b/src/vanilladyke/traffic/exchange_test.cpp
@@ -576,7 +576,7 @@
     const TimePoint now = MonotonicClock::now();
     constexpr Duration Left = milliseconds(2500); // still available, but withdrawn from soon
     const TimePoint namedAt = now + Left - m_state.settings.rates.weightsTime;
-    m_state.tracker.weightsNamed({model, {2, namedAt, namedAt}}, DateGrounds::Read, now);
+    m_state.tracker.weightsNamed({model, {2, namedAt, namedAt}}, AnnouncementSource::Read, now);
     m_state.tracker.loading(EngineId("e3"), now + Left / 2);
     connect();
     send("POST /a/x HTTP/1.1\r\nHost: h\r\nKey: k\r\nModel: m\r\nId: 1\r\nContent-Length: "
--- a/src/vanilladyke/traffic/traffic_state.cpp
+++ b/src/vanilladyke/traffic/traffic_state.cpp
@@ -4,7 +4,7 @@
 
 namespace vanilladyke {
 
-void TrafficState::recordWeightsDate(const NamedWeights &weights, DateGrounds grounds,
+void TrafficState::recordWeightsDate(const NamedWeights &weights, AnnouncementSource grounds,
                                      std::string_view by)
 {
     const TimePoint now = MonotonicClock::now();
@@ -15,8 +15,8 @@
             .field("model", weights.model.str())
             .field("version", weights.date.version)
             .field("by", by)
-            .field("age_ms", now - weights.date.namedAfter)
-            .field("known_ms", now - weights.date.knownAt);
+            .field("age_ms", now - weights.date.announcedAfter)
+            .field("known_ms", now - weights.date.firstReceivedAt);
 }
 
 } // namespace vanilladyke
