--- a/include/vanilladyke/policy/backend_choice.hpp
+++ b/include/vanilladyke/policy/backend_choice.hpp
@@ -11,46 +11,50 @@
 #include <string>
 #include <vector>
 
-/// Values of the choice of a backend server; see backend_book.hpp.
+/// Value types of the selection of a backend server; see backend_tracker.hpp.
 namespace vanilladyke {
 
-/// @brief How choices are weighed. What engines do is learned or read from the configuration; what
-/// is given here holds for any engines.
+/// @brief Parameters of the cost model that ranks backend servers.
+/// The defaults hold for any engine type; properties of the engines are learned or read from the
+/// configuration.
 struct BackendRates
 {
-    double engineTokensPerMs = 2000; ///< tokens that it fetches from another engine
-    double keptTokensPerMs = 500;    ///< tokens that it fetches from the kept-cache store
-    Millis step{0.4};                ///< each running request slows the others by this
-    /// Charge for shared tokens that come to stand in a second engine's memory, where they push out
-    /// others that will be read again: so many times the time of reading them.
+    double engineTokensPerMs = 2000; ///< transfer rate from another engine
+    double keptTokensPerMs = 500;    ///< transfer rate from the kept-cache store
+    Millis step{0.4};                ///< delay that each running request adds for the others
+    /// Penalty for placing shared tokens in the memory of a second engine, where they evict others
+    /// that will be requested again. In multiples of the tokens' prefill time.
     double copyReads = 3.4;
-    /// Charge for reading a part that no engine has elsewhere than at its home, where nodes look
-    /// for it that have not heard of it: so many times the time of reading it.
+    /// Penalty for prefilling a part outside its preferred engine while no engine holds it: nodes
+    /// without the placement update look for it at the preferred engine only. In multiples of its
+    /// prefill time.
     double awayReads = 1.35;
-    Millis otherCentre{6}; ///< there and back, and a charge for bytes between data centres
-    /// Charge for weights that were replaced, as a part of the target. An answer there loses a
-    /// fifth of its worth, and one that comes later but still in time loses nothing: a delay counts
-    /// half.
+    Millis otherCentre{6}; ///< round trip and a penalty for transfers between data centres
+    /// Penalty for replaced weights, as a fraction of the target. An answer on old weights loses a
+    /// fifth of its value, while one that comes later but within the target loses nothing; a delay
+    /// is therefore weighted by one half.
     double oldWeightsPart = 0.4;
-    /// A request is refused at once where it would wait for so much of its target; see
+    /// A request is refused if its predicted wait exceeds this fraction of its target; see
     /// wait_limit.hpp.
     double mostWaitTargets = 0.5;
-    /// What a request is predicted to wait counts so often towards the end of old weights' time.
+    /// Multiplier of the predicted wait when checking that a request begins before the end of the
+    /// period in which old weights may be used.
     double oldWeightsWaits = 1;
-    Duration weightsTime = std::chrono::milliseconds(15000); ///< until old weights are closed
-    /// In a fleet of more than WholeUpTo servers, how many are weighed for a request.
-    std::uint64_t reach =
-            12; ///< without an expensive shared part: the first of the node's own order
-    std::uint64_t homes = 3; ///< with one: the first of the part's order
-    /// A shared part that is read sooner has no home: it takes less than a step of an engine.
+    /// Servers with old weights are excluded after this time.
+    Duration weightsTime = std::chrono::milliseconds(15000);
+    /// Number of servers evaluated for a request if the service has more than
+    /// BackendBook::WholeUpTo.
+    std::uint64_t reach = 12; ///< without a preferred engine: the first of the node's own order
+    std::uint64_t homes = 3;  ///< with one: the first of the part's rendezvous order
+    /// Shared parts with a shorter prefill, less than an engine step, have no preferred engine.
     Millis leastHomeReading{3};
-    Millis failureCost{1500}; ///< charge for a server that fails everything
-    Millis silenceCost{3000}; ///< charge for a server that answers nothing
-    /// Charge for one of the few requests that a server with a limit takes, while they are scarce:
-    /// left to those that have their prompt's part there. Were nothing ever sent there, nobody
-    /// would notice that the limit is over.
+    Millis failureCost{1500}; ///< penalty for a server whose requests all fail
+    Millis silenceCost{3000}; ///< penalty for an unresponsive server
+    /// Penalty for using the capacity of a rate-limited server while it is scarce, which leaves it
+    /// to requests whose shared part that server holds. It is finite because the end of a limit is
+    /// only seen in answers to requests.
     Millis limitedCost{40};
-    // Each of these is false only where a mechanism is switched off to measure what it is worth.
+    // Each is false only where a mechanism is switched off to measure its effect.
     bool homesByBeginning = true;
     bool usesKeptStore = true;
     bool fetchesFromEngines = true;
@@ -62,88 +66,91 @@
     bool keepsLimits = true;
 };
 
-/// @brief What a request needs.
+/// @brief Requirements of one request.
 struct BackendQuery
 {
     ServiceId service;
-    ModelId model;          ///< empty for plain services
-    CustomerId isolated;    ///< set if the customer shares cached work with none
-    std::string sharedPart; ///< the last part that other requests may share; may be empty
-    /// The part by which the home is chosen; empty: sharedPart. Parts that begin alike and differ
-    /// in less than half of their tokens have one home, where what they begin with is read once.
+    ModelId model;       ///< empty for plain services
+    CustomerId isolated; ///< set if the customer shares no cached work with others
+    /// The last part of the prompt that other requests may share; may be empty.
+    std::string sharedPart;
+    /// The part that determines the preferred engine; if empty, sharedPart. Parts with a common
+    /// beginning that differ in less than half of their tokens have the same preferred engine, so
+    /// that the common beginning is prefilled once.
     std::string homePart;
     std::uint64_t sharedTokens = 0; ///< up to the end of that part
-    std::uint64_t ownTokens = 0;    ///< after it
-    /// Within which the first token is worth most.
+    std::uint64_t ownTokens = 0;    ///< after the shared part
+    /// The first token has its full value within this time.
     Duration target = std::chrono::milliseconds(500);
-    int urgency = 5;                     ///< 0 goes first, 9 last
-    std::vector<EngineId> exclude;       ///< servers that were tried already
+    int urgency = 5;                     ///< 0 is the most urgent, 9 the least
+    std::vector<EngineId> exclude;       ///< servers that were tried before
     const KeptCacheView *kept = nullptr; ///< null: there is no kept-cache store
-    std::uint64_t memoryTokens = 0;      ///< of an engine; 0: not known
+    std::uint64_t memoryTokens = 0;      ///< capacity of an engine's prefix cache; 0: unknown
 
-    std::uint64_t leastHomeTokens = 512; ///< fewer have no home
+    std::uint64_t leastHomeTokens = 512; ///< shorter shared parts have no preferred engine
 
-    /// @brief Whether it matters which engine has the shared part.
+    /// @brief Whether the shared part is expensive enough to prefer certain engines.
     [[nodiscard]] bool hasHome() const;
-    /// @brief Names the shared part and who shares it; its homes follow from it.
+    /// @brief Hash of the shared part and of the customer that it is isolated for, if any.
     [[nodiscard]] std::uint64_t partKey() const;
-    /// @brief Gives the order of engines in which the part's homes follow.
+    /// @brief Hash from which the rendezvous order of engines is computed.
     [[nodiscard]] std::uint64_t homeKey() const;
 
 private:
     [[nodiscard]] std::uint64_t keyOf(const std::string &part) const;
 };
 
-/// @brief Where a request goes and why.
+/// @brief The selected server, with the predictions on which the selection is based.
 struct BackendChoice
 {
     BackendEntry backend;
-    std::uint64_t weights = 0;         ///< version on which it will run; 0: none known
-    std::uint64_t part = 0;            ///< BackendQuery::partKey; 0: it has no home
-    std::uint64_t sharedTokens = 0;    ///< of the prompt, which other requests may share
-    bool isHeld = false;               ///< the shared part is believed to be in the engine's memory
-    std::optional<Endpoint> fetchFrom; ///< engine or store that may have the shared part
+    std::uint64_t weights = 0;      ///< version that the request will run on; 0: unknown
+    std::uint64_t part = 0;         ///< BackendQuery::partKey; 0: no preferred engine
+    std::uint64_t sharedTokens = 0; ///< tokens that other requests may share
+    bool isHeld = false; ///< the shared part is predicted to be in the engine's prefix cache
+    std::optional<Endpoint> fetchFrom; ///< engine or store that may hold the shared part
     std::optional<Endpoint> saveTo;    ///< store that lacks the shared part
-    std::uint64_t store = 0;           ///< name of the store that it would be fetched from; 0: none
-    Millis cost{};                     ///< predicted, with charges
-    Millis first{};                    ///< predicted time to the first token
-    int urgency = 5;                   ///< of the request
+    std::uint64_t store = 0; ///< hash of the store that the part would be fetched from; 0: none
+    Millis cost{};           ///< predicted time with penalties
+    Millis first{};          ///< predicted time to the first token
+    int urgency = 5;         ///< of the request
     TimePoint chosenAt;
-    Millis waits{};         ///< of it, for what is ahead
-    double tokensPerMs = 0; ///< at which the engine is believed to read
-    double readTokens = 0;  ///< that the engine reads, if what is believed of it holds
-    bool isAlone = false;   ///< nothing is known that waits there: its time shows the engine's pace
-    Millis reading{};       ///< of it, reading the prompt
-    std::size_t candidates = 0; ///< servers that were weighed
+    Millis waits{};         ///< share of `first` spent on the backlog ahead
+    double tokensPerMs = 0; ///< predicted prefill throughput of the engine
+    double readTokens = 0;  ///< tokens to prefill, if the predicted cache content is right
+    /// No backlog is known there: the time to the first token is a sample of the throughput.
+    bool isAlone = false;
+    Millis reading{};           ///< share of `first` spent on prefill
+    std::size_t candidates = 0; ///< number of evaluated servers
 };
 
-/// @brief What one node tells others of a backend server.
+/// @brief Load update: the load of one node at one backend server, sent to other nodes.
 struct BackendLoadNews
 {
-    std::uint64_t backend = 0; ///< hash of its id
-    WaitingWork waiting; ///< predicted reading time of the node's requests that have not begun
-    int inFlight = 0;    ///< the node's requests there
-    Duration loading{};  ///< how much longer it loads new weights
-    std::uint64_t weights = 0; ///< version that the node knows of; 0: none
+    std::uint64_t backend = 0; ///< hash of the server's id
+    WaitingWork waiting;       ///< predicted prefill time of its requests without a first token
+    int inFlight = 0;          ///< requests of the node at the server
+    Duration loading{};        ///< remaining time of a load of new weights
+    std::uint64_t weights = 0; ///< version recorded by the node; 0: none
 };
 
-/// @brief What one node tells others of a request with an expensive shared part.
+/// @brief Placement update: one node sent a request with an expensive shared part to a server.
 struct PlacementNews
 {
     std::uint64_t part = 0;    ///< BackendQuery::partKey
     std::uint64_t backend = 0; ///< hash of the server's id
     std::uint64_t weights = 0;
-    std::uint64_t saved = 0; ///< KeptCacheView::keyOf what goes to the kept-cache store; 0: nothing
-    std::uint64_t written = 0; ///< tokens that come into the engine's memory
-    std::uint64_t store = 0;   ///< store that has the shared part; 0: not needed
-    std::uint64_t wanted = 0;  ///< tokens that would be fetched there if its link carries them
+    std::uint64_t saved = 0;   ///< KeptCacheView::keyOf the part saved to a store; 0: none
+    std::uint64_t written = 0; ///< tokens added to the engine's prefix cache
+    std::uint64_t store = 0;   ///< store that holds the shared part; 0: no fetch needed
+    std::uint64_t wanted = 0;  ///< tokens that would be fetched from it if its link has capacity
 };
 
-/// @brief Why there is no choice.
+/// @brief Reason why no server can be selected.
 struct NoBackend
 {
-    bool isKnown = false; ///< the service has servers, but none is open
-    TimePoint retryAt;    ///< when one may be open again
+    bool isKnown = false; ///< the service has servers, but all are excluded
+    TimePoint retryAt;    ///< when a server may be available again
 };
 
 } // namespace vanilladyke
--- a/src/vanilladyke/policy/backend_book.cpp
+++ b/src/vanilladyke/policy/backend_book.cpp
@@ -327,8 +327,8 @@
     if (choice.isAlone) {
         state.slotTimes->observed(now - choice.chosenAt);
     } else if (choice.readTokens > 0) {
-        // What it waited before its prompt was read is no part of it. A plain call's work comes
-        // before its first byte and can't be told from waiting.
+        // The wait before the prefill is not part of the slot time. For a plain call the work
+        // precedes the first byte and cannot be told from waiting.
         state.slotTimes->observed(ran + choice.reading);
     }
 }
@@ -423,7 +423,7 @@
     }
     const std::uint64_t newest = newestWeights(model);
     if (weightsOf(*state, model) < newest) {
-        // Most likely the engine was brought to the newest weights meanwhile.
+        // The engine has most likely loaded the newest weights meanwhile.
         learnWeights(*state, model, newest);
         return;
     }
--- a/src/vanilladyke/policy/backend_choice.cpp
+++ b/src/vanilladyke/policy/backend_choice.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Predicted reading time of a plain service's call; only its ratio to other waits matters.
+/// Assumed time of a plain service's call; only its ratio to other waits matters.
 constexpr Millis PlainCall{10};
 
 } // namespace
@@ -73,8 +73,8 @@
 
 Millis BackendBook::waitOf(const State &state, int urgency, TimePoint now) const
 {
-    // What waits at the engine is in the predicted reading of this node and of those that it hears
-    // of; only requests of nobody known are added to that.
+    // The reported queue of the engine contains the requests of this node and of its peers, which
+    // are predicted below; only requests of unknown nodes are added.
     const double peers = peersInFlight(state, now);
     int others = 0;
     int queued = 0;
@@ -85,7 +85,7 @@
     }
     const int busy = others + state.inFlight + static_cast<int>(std::lround(peers));
     const int over = std::max(queued, busy + 1 - state.entry.slots);
-    // A full server gives its slots back one after the other.
+    // The slots of a full server become free one after the other.
     const Millis perSlot = state.slotTimes->mean() / std::max(state.entry.slots, 1);
     const double slotsUsed = static_cast<double>(busy) / std::max(state.entry.slots, 1);
     const int most = m_rates.weighsUrgency ? urgency : WaitingWork::Urgencies - 1;
@@ -180,7 +180,8 @@
     const bool isWhole = all.size() <= WholeUpTo;
     const std::size_t most =
             isWhole ? all.size() : (hasHome ? m_rates.homes : m_rates.reach + more);
-    // With a store in each data centre, the homes that follow the first one stay beside its store.
+    // With a store in each data centre, the engines in the data centre of the preferred one come
+    // first in the order, close to the store that keeps the part.
     constexpr std::uint64_t Beside = 1ULL << 63U;
     const bool hasStores = query.kept != nullptr && query.kept->stores() > 1;
     Weighed result;
@@ -235,7 +236,7 @@
         const bool isSound = state.closedUntil <= now && state.loadingUntil <= now
                              && !isSilent(state, now)
                              && weightsOf(state, query.model) == question.weights;
-        best = isSound ? &state : best; // the last used comes last
+        best = isSound ? &state : best; // the most recently used comes last
     }
     return best;
 }
@@ -256,7 +257,8 @@
     const std::string salt = cacheSalt(query.model, question.weights, query.isolated);
     const bool isKept =
             store != nullptr && query.kept->holds(store->endpoint, salt, query.sharedPart, now);
-    // A home on older weights can't have the part under newer ones: somewhere it is read first.
+    // A preferred engine on older weights cannot hold the part under newer ones, so some engine has
+    // to prefill it: no penalty.
     const bool isHome = &engine == &home || weightsOf(home, query.model) < question.weights;
     const auto shared = static_cast<double>(query.sharedTokens);
     Reading reading;
@@ -267,7 +269,7 @@
     if (store != nullptr && !isKept && query.kept->state(store->endpoint) != KeptCacheState::Down) {
         reading.saveTo = store->endpoint;
     }
-    // Engines hand out faster than a store, whose one link many engines share.
+    // Engines transfer faster than a store, whose single link is shared by many engines.
     const State *holder = holderBeside(engine, question, query, now);
     const std::uint64_t storeName = store == nullptr ? 0 : hashOf(store->endpoint);
     const bool mayFetch = isKept
@@ -279,7 +281,7 @@
         reading.fetchFrom = store->endpoint;
     }
     if (reading.isHeld) {
-        return reading; // what is fetched is only what was pushed out meanwhile
+        return reading; // a fetch transfers only what was evicted meanwhile
     }
     reading.store = isKept && holder == nullptr ? storeName : 0;
     if (holder != nullptr) {
@@ -313,7 +315,7 @@
     std::optional<BackendChoice> chosen = best(query, weigh(query, dates, 0, now, &none), now);
     const Millis mostWait = m_rates.mostWaitTargets * Millis(query.target);
     if (!chosen || chosen->waits > mostWait) {
-        // It would be refused: others may have room, though they read more of its prompt.
+        // The request would be refused: other servers may be free, though they prefill more of it.
         Weighed wider = weigh(query, dates, m_rates.reach, now, &none);
         const auto crowded =
                 std::partition(wider.open.begin(), wider.open.end(),
