--- a/src/vanilladyke/policy/backend_book_test.cpp
+++ b/src/vanilladyke/policy/backend_book_test.cpp
@@ -56,7 +56,8 @@
     return query;
 }
 
-// Guards against requests that wait for their connections side by side and all go out on one token.
+// Guards against several requests using one token of a rate limit while they wait for their
+// connections.
 TEST(BackendBook, ATokenThatAnotherRequestTookMeanwhileIsGone)
 {
     BackendBook book(hereCentre, {});
@@ -72,8 +73,8 @@
     EXPECT_EQ(book.limitedEngines(), 1U);
 }
 
-// Guards against calls of a plain service that are refused or sent on since each one ahead of them
-// was taken to cost 30 ms, whatever the service's calls take.
+// Guards against calls of a plain service being refused or moved because each call ahead of them
+// was assumed to take 30 ms, whatever the service's calls take.
 TEST(BackendBook, ACallWithoutASlotWaitsForTheServicesOwnCalls)
 {
     constexpr int Slots = 6;
@@ -99,8 +100,8 @@
     EXPECT_LT(waits, Millis(Ahead * CallMs / Slots) * 1.3);
 }
 
-// Every router starts without any knowledge of caches. Were each to choose another engine for a
-// brand guide, the guide would be read once by each.
+// Guards against nodes without any cache updates choosing different engines for a shared part, each
+// of which would then prefill it.
 TEST(BackendBook, NodesThatDoNotTalkSendASharedPartToTheSameEngine)
 {
     BackendBook one(hereCentre, {});
@@ -123,9 +124,9 @@
     }
 }
 
-// New weights are in force on a third of 120 engines, and the homes of most guides still have older
-// ones. Sent home, two thirds of the long prompts would get answers on weights that were replaced;
-// sent anywhere else, the guide would be read by one engine after the other.
+// New weights are loaded on a third of 120 engines, and the preferred engines of most parts still
+// run older ones. Guards against sending two thirds of the long prompts to replaced weights, and
+// against each node choosing a different engine on new weights, which would repeat the prefill.
 TEST(BackendBook, AnEngineOnNewWeightsStandsInForAHomeThatHasOlderOnes)
 {
     BackendBook one(hereCentre, {}, 1);
@@ -147,8 +148,8 @@
     }
 }
 
-// One brand's guide gets a third of all requests within a second. Its home would make every one of
-// them late while other engines idle.
+// A third of all requests have the same shared part within a second. Guards against queueing all of
+// them at the preferred engine while other engines are idle.
 TEST(BackendBook, AHotPartSpreadsWhenWaitingCostsMoreThanReading)
 {
     BackendBook book(hereCentre, {});
@@ -166,8 +167,8 @@
     }
 }
 
-// Short checks share engines with drafts of seventeen thousand tokens. Behind a few of those a
-// check waits half a second, while an engine next to it is idle.
+// Short requests share engines with prompts of seventeen thousand tokens. Guards against a short
+// request waiting half a second behind a few of them while another engine is idle.
 TEST(BackendBook, AShortRequestAvoidsAnEngineWhereLongPromptsWait)
 {
     BackendBook book(hereCentre, {});
@@ -185,8 +186,9 @@
     EXPECT_NE(next->backend.id, home->backend.id);
 }
 
-// Long prompts of low urgency wait for two seconds at the engine that has a check's prompt. The
-// check overtakes them there; sent elsewhere, its prompt would be read again.
+// Long prompts of low urgency wait for two seconds at the engine that has an urgent request's
+// prompt cached. The urgent request overtakes them there; at another engine its prompt would be
+// prefilled again.
 TEST(BackendBook, WhatIsLessUrgentIsNotWaitedFor)
 {
     BackendBook book(hereCentre, {});
@@ -207,8 +209,8 @@
     EXPECT_NE(book.choose(check, at(1))->backend.id, home->backend.id);
 }
 
-// Many checks begin alike and differ in a few tokens. Were each to have a home of its own, every
-// engine would read what they begin with.
+// Many prompts have a common beginning and differ in a few tokens. Guards against giving each a
+// preferred engine of its own, so that every engine would prefill the common beginning.
 TEST(BackendBook, PartsThatBeginAlikeHaveOneHome)
 {
     BackendBook book(hereCentre, {});
@@ -223,8 +225,8 @@
     }
 }
 
-// An engine's host falls silent: connections stay open and nothing comes back. Requests sent there
-// are only answered at their deadlines.
+// An engine's host stops answering while connections stay open. Guards against sending requests
+// there, which would end at their deadlines.
 TEST(BackendBook, AnEngineThatGoesSilentIsAvoided)
 {
     BackendBook book(hereCentre, {});
@@ -239,8 +241,8 @@
     EXPECT_EQ(book.choose(longPrompt(1), at(710))->backend.id, home->backend.id);
 }
 
-// A grey engine answers its health check and fails every second request at once; as it looks idle
-// it would draw more and more of them.
+// An engine passes its health check and fails every second request at once. Guards against it
+// drawing more and more requests because it looks idle.
 TEST(BackendBook, AnEngineThatFailsRequestsIsAvoidedForAWhile)
 {
     BackendBook book(hereCentre, {});
@@ -257,8 +259,8 @@
     EXPECT_NE(book.choose(plain, at(10))->backend.id, first->backend.id);
 }
 
-// New weights are named again and again while earlier ones are still being brought. Each naming has
-// its own time; counted from the last one, an engine two versions behind would go on serving.
+// Newer weights are announced while earlier ones are still being loaded. Each announcement has its
+// own period; counted from the last one, an engine two versions behind would stay available.
 TEST(BackendBook, EachNamedVersionClosesOlderEnginesInItsOwnTime)
 {
     BackendBook book(hereCentre, {});
@@ -272,7 +274,7 @@
         ASSERT_TRUE(choice);
         EXPECT_EQ(choice->weights, 2U);
     }
-    EXPECT_FALSE(book.choose(longPrompt(1), at(21'500))) << "both are too old by now";
+    EXPECT_FALSE(book.choose(longPrompt(1), at(21'500))) << "both versions are past their periods";
 }
 
 TEST(BackendBook, ANodeThatLearnsThatWeightsAreOlderClosesSooner)
@@ -300,7 +302,7 @@
     EXPECT_FALSE(book.choose(unknown, at(0)).error().isKnown);
 }
 
-// An engine took new weights, and this node hears of it by a refusal before its entry says so.
+// An engine loaded new weights, and a refusal reaches this node before the updated entry does.
 TEST(BackendBook, ARefusedVersionMeansThatTheNewestIsThere)
 {
     BackendBook book(hereCentre, {});
@@ -320,8 +322,8 @@
     return {};
 }
 
-// Six nodes each send a sixth of the long prompts. What the others have waiting at an engine is not
-// in a node's own books, and all of them pick an engine that is busy already.
+// Six nodes each send a sixth of the long prompts. Guards against all of them selecting an engine
+// that is busy with requests of the others.
 TEST(BackendBook, WhatOtherNodesHaveWaitingCountsAsOwn)
 {
     BackendBook here(hereCentre, {});
@@ -351,8 +353,8 @@
     EXPECT_LT(book.choose(shortPrompt(1), at(2501))->cost, Millis(50));
 }
 
-// 72 nodes that each passed on what they had heard kept an engine closed for as long as they told
-// each other that it was: with every hop the end moved by the hop's delay.
+// Guards against a feedback loop among 72 nodes: if each forwarded the received end of a load,
+// every hop would move it by the hop's delay, and the engine would stay excluded.
 TEST(BackendBook, ALoadThatNodesOnlyHeardOfIsNotPassedOn)
 {
     const EngineId engine("e0");
@@ -378,8 +380,9 @@
     }
 }
 
-// The node that gave the order has no request at the engine when its load ends, and told others
-// only of servers at which it had some: they sent requests for the old weights until refused.
+// The node that ordered a load has no request at the engine when the load ends. Guards against it
+// reporting only servers at which it has some: others would send requests for the old weights until
+// they are refused.
 TEST(BackendBook, NewWeightsAreToldThoughTheNodeHasNoRequestThere)
 {
     BackendBook orderer(hereCentre, {});
@@ -389,10 +392,10 @@
     orderer.loaded(EngineId("e0"), llmModel, 2, at(0));
     other.heardLoad(7, orderer.ownLoad(10, at(1)), at(1));
     EXPECT_EQ(other.choose(shortPrompt(1), at(2))->weights, 2U);
-    EXPECT_TRUE(other.ownLoad(10, at(3)).empty()) << "hearsay";
+    EXPECT_TRUE(other.ownLoad(10, at(3)).empty()) << "received updates are not forwarded";
 }
 
-// A load ended sooner than it was said to take: the engine is open again as soon as that is heard.
+// A load ends earlier than announced: the engine is available as soon as the update arrives.
 TEST(BackendBook, AnEngineIsOpenAgainWhenItsNewWeightsAreHeardOf)
 {
     BackendBook book(hereCentre, {});
@@ -406,8 +409,8 @@
     EXPECT_EQ(choice->weights, 2U);
 }
 
-// Each of many nodes sends a guide too seldom to know where it is. Its home is away, and the next
-// engine would read it again although a third one has it.
+// Each of many nodes sends a part too rarely to know where it is cached. Guards against a prefill
+// by the next engine when the preferred one is unavailable, although a third one has the part.
 TEST(BackendBook, APartIsFetchedFromWhereAnotherNodeSentIt)
 {
     BackendBook here(hereCentre, {});
@@ -429,8 +432,8 @@
     EXPECT_LT(next->reading, 0.33 * there.paceOf(llmService).reading(tokens));
 }
 
-// A prompt that shares fifty tokens with a fifth of all others would crowd one engine for what
-// every engine reads in half a millisecond.
+// Guards against concentrating prompts that share fifty tokens with a fifth of all others on one
+// engine, for a part that every engine prefills in half a millisecond.
 TEST(BackendBook, APartThatIsCheapToReadHasNoHome)
 {
     BackendBook book(hereCentre, {});
@@ -445,8 +448,7 @@
     EXPECT_EQ(perEngine.size(), 18U);
 }
 
-// The node that gives the orders tells the others that an engine loads new weights, before the
-// engine has refused anything.
+// The node that ordered a load reports it to the others before the engine has refused anything.
 TEST(BackendBook, AnEngineThatAnotherNodeOrderedIsLeftOutUntilItHasLoaded)
 {
     BackendBook here(hereCentre, {});
@@ -462,7 +464,8 @@
     EXPECT_EQ(here.choose(shortPrompt(1), at(2001))->weights, 2U);
 }
 
-/// The part of fifty long prompts a second over six nodes that go to their homes.
+/// Fraction of fifty long prompts a second, over six nodes, that are sent to their preferred
+/// engines.
 double partAtHome(const BackendRates &rates)
 {
     constexpr int Nodes = 6;
@@ -472,7 +475,7 @@
         BackendChoice choice;
         TimePoint endsAt;
     };
-    // The store has every part, so that copies are cheap to come by.
+    // The store has every part, so that copies are cheap to fetch.
     KeptCacheView kept;
     const Endpoint store{"10.0.0.9", 80};
     kept.setStores({{store, hereCentre}});
@@ -519,16 +522,17 @@
     return static_cast<double>(atHome) / all;
 }
 
-// With loads shared, every difference of a few milliseconds would draw requests away from their
-// homes; engines would hold copies of everything and push each other's parts out until all read
-// everything again. Under an even load most requests of a part must stay at its home.
+// With shared load updates, differences of a few milliseconds would move requests away from their
+// preferred engines. Engines would hold copies of everything and evict each other's parts until all
+// are prefilled again. Under an even load most requests of a part have to stay at its preferred
+// engine.
 TEST(BackendBook, AnEvenLoadStaysAtItsHomesThoughLoadsAreShared)
 {
     BackendRates free;
     free.copyReads = 0;
     free.awayReads = 0;
     EXPECT_GT(partAtHome(BackendRates{}), 0.95);
-    EXPECT_LT(partAtHome(free), 0.85) << "the load must be one that the charge is needed for";
+    EXPECT_LT(partAtHome(free), 0.85) << "without penalties the load has to spread";
 }
 
 } // namespace
--- a/src/vanilladyke/policy/backend_fleet_test.cpp
+++ b/src/vanilladyke/policy/backend_fleet_test.cpp
@@ -9,8 +9,8 @@
 #include <queue>
 #include <set>
 
-/// Replays the load of a whole fleet against the books of all its nodes, without a network: engines
-/// that read prompts one after the other, and nodes that hear from each other now and then.
+/// Simulates the load of a whole fleet with the trackers of all its nodes, without a network:
+/// engines that prefill one prompt after the other, and nodes that exchange updates at intervals.
 namespace vanilladyke {
 namespace {
 
@@ -26,11 +26,11 @@
     double longPerMs = 0.235;
     double shortPerMs = 0.797;
     int parts = 4000;
-    int tellEvery = 640;   ///< ms between two tellings of a node
-    int leastBetween = 80; ///< ms, for news of long prompts
+    int tellEvery = 640;   ///< ms between two load updates of a node
+    int leastBetween = 80; ///< ms, minimum between two updates with placements
     int runMs = 20'000;
     int stores = 3;
-    bool refuses = false; ///< what would wait for a part of its target
+    bool refuses = false; ///< requests with a long predicted wait are refused
 };
 
 struct Result
@@ -39,15 +39,15 @@
     double longP99 = 0;
     double longMean = 0;
     int shed = 0;
-    int sharedReads = 0; ///< times that a shared part was read through
+    int sharedReads = 0; ///< number of complete prefills of shared parts
     int longs = 0;
     int shorts = 0;
     int refusedLongs = 0;
     int refusedShorts = 0;
-    int falselyRefused = 0; ///< though the engine had so little to read
+    int falselyRefused = 0; ///< although the engine's backlog was below the limit
 };
 
-/// A link over which transfers go one after the other.
+/// A link that carries one transfer after the other.
 class TrialLink
 {
 public:
@@ -67,8 +67,7 @@
     double m_until = 0;
 };
 
-/// One engine: it reads prompts in the order of their coming, and forgets what was used longest
-/// ago.
+/// One engine: it prefills prompts in order of arrival, and evicts the least recently used parts.
 class TrialEngine
 {
 public:
@@ -78,7 +77,7 @@
     static constexpr std::size_t Slots = 16;
     static constexpr std::size_t Queue = 48;
 
-    /// @return ms until what it has to read is read
+    /// @return ms until its backlog is processed
     [[nodiscard]] double waits(double now) const { return std::max(0.0, m_readUntil - now); }
 
     [[nodiscard]] bool holds(int part) const
@@ -101,19 +100,19 @@
         }
     }
 
-    /// @param from when what is fetched is here; others are read meanwhile
-    /// @return when the first token comes
+    /// @param from arrival time of a fetched part; other prompts are prefilled meanwhile
+    /// @return time of the first token
     double read(double now, double from, double tokens)
     {
         m_readUntil = std::max(now, m_readUntil) + tokens / TokensPerMs;
         return std::max(from + tokens / TokensPerMs, m_readUntil) + FirstTokenMs;
     }
 
-    int open = 0; ///< requests that are here
+    int open = 0; ///< requests at the engine
     TrialLink link{2500};
 
 private:
-    std::deque<std::pair<int, double>> m_parts; ///< last used last, with their tokens
+    std::deque<std::pair<int, double>> m_parts; ///< with their tokens, the most recently used last
     double m_readUntil = 0;
 };
 
@@ -181,7 +180,7 @@
         std::size_t node = 0;
         std::size_t engine = 0;
         BackendChoice choice;
-        bool isEnd = false; ///< else its first token
+        bool isEnd = false; ///< otherwise the first token
 
         bool operator>(const Running &other) const { return at > other.at; }
     };
@@ -327,7 +326,7 @@
         m_running.push({first, node, index, choice, false});
     }
 
-    /// @return when the part is there; none if its source has it not
+    /// @return arrival time of the part; none if the source does not have it
     std::optional<double> fetch(double now, const BackendChoice &choice, int part, double tokens)
     {
         if (!choice.fetchFrom) {
@@ -349,7 +348,7 @@
     std::vector<int> m_toldAt;         ///< ms, of each node
     std::vector<TrialLink> m_stores;
     std::vector<std::set<int>> m_inStore;
-    int m_ownPart = 0; ///< parts that no other request has are numbered downwards
+    int m_ownPart = 0; ///< parts that no other request shares have descending negative numbers
     std::vector<TrialEngine> m_engines;
     std::priority_queue<Running, std::vector<Running>, std::greater<>> m_running;
     std::vector<double> m_shorts;
@@ -373,8 +372,9 @@
     return load;
 }
 
-// 72 nodes, 72 engines, one and a half times the usual load; more parts than all engines hold. With
-// news of long prompts half a second late every node takes the engines that were idle then.
+// 72 nodes and 72 engines at one and a half times the usual load, with more parts than all engines
+// hold. Guards against updates on long prompts that are half a second late, so that every node
+// selects the engines that were idle then.
 TEST(BackendFleet, LongPromptsThatAreToldAtOnceDoNotMeet)
 {
     const Result now = play(scaled(1.5));
@@ -390,8 +390,8 @@
     EXPECT_GT(before.longP99, 1.3 * now.longP99);
 }
 
-// Half of the long prompts would be fetched from the one store of the fleet, whose link carries a
-// fifth of them. Queued there, they wait for seconds.
+// Half of the long prompts would be fetched from the only store of the fleet, whose link carries a
+// fifth of them. Guards against a queue of seconds there.
 TEST(BackendFleet, OneStoreForAllIsNotQueuedAt)
 {
     Load load = scaled(1.0);
@@ -402,8 +402,7 @@
     EXPECT_LT(result.longP99, 900);
 }
 
-// With a store beside the homes in each of three data centres, nearly all that an engine has pushed
-// out is fetched.
+// With a store in each of three data centres, nearly all parts that an engine evicted are fetched.
 TEST(BackendFleet, AStoreInEachDataCentreSavesNearlyAllSecondReads)
 {
     Load load = scaled(1.0);
@@ -413,8 +412,8 @@
     EXPECT_LT(result.longP99, 450);
 }
 
-/// 295 nodes before 128 engines. A node sends a long prompt every other second, and tells of it at
-/// once as far as hundreds of receivers allow.
+/// 295 nodes and 128 engines. A node sends a long prompt every other second, and reports it as soon
+/// as the update rate towards hundreds of receivers permits.
 Load largeFleet(double factor)
 {
     Load load;
@@ -431,9 +430,9 @@
     return load;
 }
 
-// Engines read for a fifth of the time, and each long prompt is read a tenth of a second after it
-// was sent. The nodes that sent them tell anew seconds later: a caller is refused, although every
-// engine is idle.
+// Engines are busy for a fifth of the time, and each long prompt is prefilled a tenth of a second
+// after it was sent, while the next update of its node follows seconds later. Guards against
+// refusing callers although every engine is idle.
 TEST(BackendFleet, WhatWasToldSecondsAgoRefusesNobody)
 {
     const Result result = play(largeFleet(1));
@@ -441,8 +440,9 @@
     EXPECT_LT(result.longP99, 450);
 }
 
-// Callers come three times as often. The few engines that a node weighs for a long prompt have a
-// queue now and then, while others in the fleet are idle: a caller is refused though there is room.
+// The load is three times as high. The few engines that a node evaluates for a long prompt
+// occasionally have a queue while others are idle. Guards against refusing a caller although there
+// is capacity.
 TEST(BackendFleet, OthersAreWeighedBeforeAnybodyIsRefused)
 {
     const Result result = play(largeFleet(3));
--- a/src/vanilladyke/policy/backend_slots_test.cpp
+++ b/src/vanilladyke/policy/backend_slots_test.cpp
@@ -9,8 +9,8 @@
 #include <deque>
 #include <queue>
 
-/// Replays a hot prompt part that shifts, before engines with few slots and short answers, against
-/// the books of nine nodes. Without a network.
+/// Simulates nine nodes and engines with few slots and short answers under a hot shared part that
+/// changes. Without a network.
 namespace vanilladyke {
 namespace {
 
@@ -22,9 +22,9 @@
 constexpr int Nodes = 9;
 constexpr int Engines = 18;
 constexpr int Slots = 6;
-constexpr double AnswerMs = 400; ///< half to one and a half times that
+constexpr double AnswerMs = 400; ///< mean; uniform from half to one and a half times that
 constexpr double RequestsPerMs = 0.10;
-constexpr double HotPart = 0.7; ///< of the requests; another one each ShiftMs
+constexpr double HotPart = 0.7; ///< fraction of the requests; the part changes every ShiftMs
 constexpr int ShiftMs = 3000;
 constexpr double TokensPerMs = 112;
 constexpr double FetchedPerMs = 2500;
@@ -47,13 +47,13 @@
     BackendChoice choice;
 };
 
-/// Gives its slots in the order of coming, and reads one prompt after the other.
+/// Assigns its slots in order of arrival, and prefills one prompt after the other.
 struct SlotEngine
 {
     int running = 0;
     std::deque<Sent> waiting;
     double readUntil = 0;
-    std::deque<int> parts; ///< in its memory, last used last
+    std::deque<int> parts; ///< in its cache, the most recently used last
 
     /// @return when the first token comes
     double read(const Sent &request, double now)
@@ -132,7 +132,7 @@
     {
         double at = 0;
         Sent request;
-        bool isEnd = false; ///< else its first token
+        bool isEnd = false; ///< otherwise the first token
 
         bool operator>(const Event &other) const { return at > other.at; }
     };
@@ -227,8 +227,9 @@
     Outcome m_outcome;
 };
 
-// Guards against callers who wait for a slot at the hot part's home, where each one ahead was taken
-// to cost 30 ms whatever the engine's answers and slots, while other engines have slots free.
+// Guards against callers waiting for a slot at the hot part's preferred engine, because each
+// request ahead was assumed to take 30 ms whatever the engine's answers and slots, while other
+// engines have free slots.
 TEST(BackendSlots, AHotPartThatShiftsMakesHardlyAnybodyLateWhereAnswersAreShort)
 {
     Outcome all;
--- a/src/vanilladyke/policy/learning_test.cpp
+++ b/src/vanilladyke/policy/learning_test.cpp
@@ -10,8 +10,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Engines under memory pressure evict faster than the figures assume at start. Callers wait for
-// lost prefixes until the node has learned it, which must take few answers.
+// Engines under memory pressure evict faster than the initial estimate assumes. Callers wait for
+// lost prefixes until the estimate is corrected, which has to take few answers.
 TEST(Survival, FollowsWhatEnginesReportAsCached)
 {
     Survival survival;
@@ -48,8 +48,8 @@
     EXPECT_EQ(work.count(Engine), 0U);
 }
 
-// A bulletin becomes the one that everybody asks about. On one engine its callers would queue;
-// it must get more homes within seconds, and give them up once the next bulletin is out.
+// One prefix becomes the subject of most requests. On a single engine its callers would queue: it
+// has to get more preferred engines within seconds, and lose them when its rate falls.
 TEST(HotPrefixes, AHotPrefixGetsMoreHomesAndGivesThemUpWhenItCools)
 {
     HotPrefixes hot;
@@ -60,7 +60,7 @@
         now += milliseconds(10);
         homes = hot.note(bulletin, std::chrono::milliseconds(20), 1, now);
     }
-    EXPECT_EQ(homes, 4U); // 100 a second at 20 ms fill two engines; at 60 % use, four
+    EXPECT_EQ(homes, 4U); // 100 a second at 20 ms fill two engines; at 60 % utilisation, four
     now += seconds(60);
     EXPECT_EQ(hot.note(bulletin, std::chrono::milliseconds(20), 1, now), 1U);
 }
