--- a/include/vanilladyke/policy/backend_roster.hpp
+++ b/include/vanilladyke/policy/backend_roster.hpp
@@ -6,44 +6,48 @@
 #include <map>
 #include <unordered_map>
 
-/// Which backend servers may get requests, from the entries that they keep in the platform's store.
+/// Tracks which backend servers may get requests, from the entries that they keep in the platform's
+/// store.
 ///
-/// Load pattern: servers come, drain and crash all day, and the store that lists them is away for
-/// seconds. An entry that is gone normally means that its server is leaving. Entries that lapsed
-/// because servers could not write for a while mean nothing: taking them at their word would empty
-/// the roster at the very moment at which the store returns. What tells the two apart is that a
-/// lapse takes most entries at once: when most of them go within LapseWindow, soon after a failed
-/// call to the store, all of these are kept for ReturnTime, in which servers that live write again.
-/// A few that go are taken out at once, also after trouble, which may have been this node's alone.
-/// A server that said that it drains never comes back.
+/// Load pattern: servers come, drain and crash all day, and the store that lists them is
+/// unavailable for seconds. Normally a removed entry means that its server is leaving. Entries that
+/// lapsed because servers could not write for a while mean nothing; removing them would empty the
+/// roster at the very moment at which the store returns. The two cases differ in that a lapse
+/// affects most entries at once: if most of them are removed within LapseWindow, soon after a
+/// failed call to the store, all of these are kept for ReturnTime, in which running servers write
+/// again. A few removed entries take effect at once, also after a store failure, which may have
+/// affected this node alone. A server that reported that it drains never returns.
 namespace vanilladyke {
 
 /// @brief The roster of one node. Pure.
 class BackendRoster
 {
 public:
-    /// The platform's word: entries are back within about two seconds of the store's return.
+    /// Guaranteed by the platform: entries are written again within about two seconds of the
+    /// store's return.
     static constexpr Duration ReturnTime = std::chrono::milliseconds(2200);
-    /// Three heartbeats of silence remove an entry, so trouble may show that long after it ended.
+    /// An entry is removed after three missed heartbeats, so a failure may take effect this long
+    /// after it ended.
     static constexpr Duration TroubleMemory = std::chrono::seconds(4);
-    /// Entries that lapse together are read by two or three calls.
+    /// Entries that lapse together are read by two or three successive calls.
     static constexpr Duration LapseWindow = std::chrono::seconds(2);
 
-    /// @brief Takes in an entry. One that is older than what is known changes nothing.
+    /// @brief Adds or updates an entry. One that is older than the recorded one is ignored.
     /// @return whether anything but the heartbeat changed
     bool put(BackendEntry entry, TimePoint now);
-    /// @brief The entry is gone from the store. @return whether the server is out at once
+    /// @brief Removes an entry that is no longer in the store. @return whether an entry was removed
     bool remove(const EngineId &id, TimePoint now);
-    /// @brief A call to the store failed or was late.
+    /// @brief Records that a call to the store failed or timed out.
     void storeFailed(TimePoint now) { m_lastTrouble = now; }
-    /// @brief Drops the entries whose time to come back is over. @return whether any was
+    /// @brief Drops lapsed entries that were not written again in time. @return whether there were
+    /// any
     bool expire(TimePoint now);
-    /// @brief Removes all that are not in @p present: the store's whole list was read.
+    /// @brief Removes all entries that are not in @p present, the complete list in the store.
     bool keepOnly(const std::map<EngineId, bool> &present, TimePoint now);
 
-    /// @brief Servers that may get requests: known and not draining.
+    /// @brief Servers that may get requests: listed and not draining.
     [[nodiscard]] std::vector<BackendEntry> serving() const;
-    /// @brief Whether the condition holds for any of them.
+    /// @brief Whether the condition holds for any serving server.
     template <typename Condition>
     [[nodiscard]] bool anyServing(Condition condition) const
     {
@@ -58,7 +62,8 @@
     struct Known
     {
         BackendEntry entry;
-        std::optional<TimePoint> goneAt; ///< lapsed; out for good at this time
+        std::optional<TimePoint>
+                goneAt; ///< set if the entry lapsed: the time at which it is dropped
     };
 
     [[nodiscard]] bool isLapse(TimePoint now) const;
@@ -66,7 +71,7 @@
 
     std::map<EngineId, Known> m_entries;
     std::map<EngineId, std::pair<BackendEntry, TimePoint>> m_removed; ///< within LapseWindow
-    std::unordered_map<EngineId, std::uint64_t> m_lastHeartbeat; ///< also of those that are out
+    std::unordered_map<EngineId, std::uint64_t> m_lastHeartbeat;      ///< also of removed servers
     TimePoint m_lastTrouble = TimePoint::min();
 };
 
--- a/src/vanilladyke/policy/backend_roster.cpp
+++ b/src/vanilladyke/policy/backend_roster.cpp
@@ -15,7 +15,7 @@
     auto [place, isNew] = m_entries.try_emplace(entry.id);
     Known &known = place->second;
     const BackendEntry &old = known.entry;
-    // A server that drains does not return under the same id.
+    // A draining server does not return under the same id.
     entry.isDraining = entry.isDraining || (!isNew && old.isDraining);
     const bool changed = isNew || known.goneAt || old.isDraining != entry.isDraining
                          || old.endpoint != entry.endpoint || old.service != entry.service
--- a/src/vanilladyke/policy/backend_roster_test.cpp
+++ b/src/vanilladyke/policy/backend_roster_test.cpp
@@ -31,14 +31,14 @@
     EXPECT_TRUE(roster.serving().empty());
 }
 
-// A server says that it drains, and an entry that it wrote before reaches the node afterwards,
-// because the store executed a delayed write. Requests would go on to a server that is leaving.
+// A server reports that it drains, and an entry that it wrote before arrives afterwards because the
+// store executed a delayed write. Guards against sending requests to a server that is leaving.
 TEST(BackendRoster, AnOlderEntryDoesNotBringADrainingServerBack)
 {
     BackendRoster roster;
     roster.put(entry("a", 5, true), at(0));
     EXPECT_FALSE(roster.put(entry("a", 4), at(1)));
-    EXPECT_FALSE(roster.put(entry("a", 6), at(2))) << "a server that drains stays out";
+    EXPECT_FALSE(roster.put(entry("a", 6), at(2))) << "a draining server stays excluded";
     EXPECT_TRUE(roster.serving().empty());
 }
 
@@ -50,8 +50,8 @@
     EXPECT_TRUE(roster.serving().empty());
 }
 
-// The store was away for longer than three heartbeats, and all entries lapsed there. When it is
-// back a node reads that every server is gone; callers would hear that nobody serves them.
+// The store was unavailable for longer than three heartbeats, and all entries lapsed. Guards
+// against reading the empty list as the removal of every server, so that callers would be refused.
 TEST(BackendRoster, EntriesThatLapsedWithTheStoreAreKeptUntilTheirServersCanWriteAgain)
 {
     BackendRoster roster;
@@ -68,8 +68,9 @@
     EXPECT_EQ(roster.serving()[0].id, EngineId("a"));
 }
 
-// A node alone was cut off from the store. Just after its return a server leaves without a word;
-// kept for the time in which lapsed entries return, it would get requests after it has gone.
+// Only this node lost its connection to the store. Just after it returns, a server leaves without
+// draining. Guards against keeping its entry as a lapsed one, so that it would get requests after
+// it is gone.
 TEST(BackendRoster, OneServerThatLeavesAfterTroubleIsOutAtOnce)
 {
     BackendRoster roster;
