--- a/include/vanilladyke/policy/fetch_share.hpp
+++ b/include/vanilladyke/policy/fetch_share.hpp
@@ -5,30 +5,31 @@
 #include <cstdint>
 #include <unordered_map>
 
-/// How much of what nodes would fetch from a kept-cache store its one link can hand out.
+/// Limits the fetches from a kept-cache store to the capacity of its link.
 ///
-/// Load pattern: an engine's memory holds half of the guides that have their home there, so that
-/// every second long prompt would be fetched from the store, and a fetch takes its link twenty
-/// milliseconds. Beyond fifty a second they queue for seconds, while reading the guide would take a
-/// tenth of one. A limit on the queue that nodes believe there to be lets all of them pile up in
-/// the half second until they hear of each other; a share of what is wanted does not.
+/// Load pattern: an engine's cache holds half of the parts for which the engine is preferred, so
+/// that every second long prompt would be fetched from the store. A fetch occupies the link for
+/// twenty milliseconds. Above fifty fetches a second they queue for seconds, while a prefill would
+/// take a tenth of a second. A limit on the estimated queue fails: until they receive each other's
+/// updates, half a second later, all nodes pile up. Admitting a random share of the demand does not
+/// have this delay.
 namespace vanilladyke {
 
-/// @brief One node's view of all stores. Pure. Stores are named by hashes.
+/// @brief The view that one node has of all stores. Pure. Stores are identified by hashes.
 class FetchShare
 {
 public:
-    /// Of the link that is handed out; what remains absorbs bursts.
+    /// Fraction of the link's capacity that is used; the rest absorbs bursts.
     static constexpr double LinkPart = 0.6;
     static constexpr Duration Memory = std::chrono::milliseconds(1000);
 
-    /// @brief Some node would fetch so much, whether it does or not.
+    /// @brief Records that a node would fetch this many tokens, whether or not it is admitted.
     void wanted(std::uint64_t store, double tokens, TimePoint now);
-    /// @brief Whether this request is among those that fetch.
-    /// @param draw in [0, 1), another one for each request
+    /// @brief Whether this request may fetch.
+    /// @param draw random number in [0, 1), a new one for each request
     [[nodiscard]] bool allows(std::uint64_t store, double linkTokensPerMs, double draw,
                               TimePoint now) const;
-    /// @brief Tokens a millisecond that nodes would fetch lately.
+    /// @brief Recent demand of all nodes, in tokens per millisecond.
     [[nodiscard]] double demand(std::uint64_t store, TimePoint now) const;
 
 private:
--- a/include/vanilladyke/policy/part_holders.hpp
+++ b/include/vanilladyke/policy/part_holders.hpp
@@ -6,51 +6,53 @@
 #include <unordered_map>
 #include <vector>
 
-/// Which engines most likely hold a shared part, from the requests that any node sent there.
+/// Predicts which engines hold a shared part in their prefix cache, from the requests that any node
+/// sent there.
 ///
-/// Load pattern: 72 nodes, a thousand brand guides, and engines whose memory holds fourteen. The
-/// fleet sends a guide every four seconds, a single node once in five minutes, so that from its own
-/// requests no node knows where a guide is; and by the time that it comes again half of the engines
-/// have pushed theirs out. An engine's memory drops what was used longest ago, so that what was
-/// written since a part's last use tells whether the part is still there.
+/// Load pattern: 72 nodes, a thousand shared parts, and engines whose cache holds fourteen of them.
+/// The fleet sends a given part every four seconds, a single node once in five minutes. From its
+/// own requests no node can tell where a part is, and by the time of its next use half of the
+/// engines have evicted theirs. Engines evict the least recently used work, so that the amount
+/// written since the last use of a part tells whether it is still cached.
 namespace vanilladyke {
 
-/// @brief One node's view. Pure. Parts and servers are named by hashes, as nodes tell them.
+/// @brief The view of one node. Pure. Parts and servers are identified by hashes, as in updates
+/// between nodes.
 class PartHolders
 {
 public:
-    /// Longer ago than this too much may have happened that no node tells.
+    /// Uses longer ago than this are ignored: too much may have been written that no node reports.
     static constexpr Duration Life = std::chrono::seconds(30);
-    /// Where an engine's memory is not known.
+    /// Lifetime of a use if the capacity of an engine's cache is unknown.
     static constexpr Duration UnknownLife = std::chrono::seconds(8);
-    /// Of an engine's memory that holds parts; the rest is taken by requests that run.
+    /// Fraction of an engine's memory that holds shared parts; running requests take the rest.
     static constexpr double CachePart = 0.75;
-    static constexpr std::size_t MostHolders = 4; ///< of a part; the oldest gives way
+    static constexpr std::size_t MostHolders = 4; ///< of a part; the oldest is dropped
     static constexpr std::size_t MostParts = 65536;
 
-    /// @brief A request with the part went to the server.
+    /// @brief A request with the part was sent to the server.
     struct Use
     {
         std::uint64_t part = 0;
         std::uint64_t backend = 0;
-        std::uint64_t weights = 0; ///< version under which the part is read
-        std::uint64_t written = 0; ///< tokens that it adds to the engine's memory
+        std::uint64_t weights = 0; ///< version under which the part is prefilled
+        std::uint64_t written = 0; ///< tokens that it adds to the engine's cache
     };
 
-    /// @brief What is asked about.
+    /// @brief A lookup of a part.
     struct Question
     {
         std::uint64_t part = 0;
         std::uint64_t weights = 0;
         std::uint64_t tokens = 0;       ///< of the part
-        std::uint64_t memoryTokens = 0; ///< of an engine; 0: not known
+        std::uint64_t memoryTokens = 0; ///< capacity of an engine's cache; 0: unknown
     };
 
     void used(const Use &use, TimePoint now);
     [[nodiscard]] bool holds(const Question &question, std::uint64_t backend, TimePoint now) const;
-    /// @brief All that most likely hold the part; the last used last.
+    /// @brief Servers that are predicted to hold the part, the most recently used last.
     [[nodiscard]] std::vector<std::uint64_t> holders(const Question &question, TimePoint now) const;
-    /// @brief Servers that were sent the part, whatever became of it.
+    /// @brief Servers that were sent the part, whether or not it is still cached.
     [[nodiscard]] std::vector<std::uint64_t> backends(std::uint64_t part) const;
     [[nodiscard]] std::size_t size() const { return m_parts.size(); }
 
@@ -59,8 +61,8 @@
     {
         std::uint64_t backend = 0;
         std::uint64_t weights = 0;
-        TimePoint at;           ///< of the last use
-        std::uint64_t mark = 0; ///< what had been written to the engine by then
+        TimePoint at;           ///< last use
+        std::uint64_t mark = 0; ///< tokens written to the engine up to the last use
     };
 
     [[nodiscard]] bool isThere(const Holder &holder, const Question &question, TimePoint now) const;
--- a/src/vanilladyke/policy/fetch_share_test.cpp
+++ b/src/vanilladyke/policy/fetch_share_test.cpp
@@ -15,8 +15,8 @@
     return TimePoint(std::chrono::hours(1) + std::chrono::milliseconds(millis));
 }
 
-/// The part of the link that is used when a part of 13,300 tokens is wanted every @p everyMs, once
-/// the demand is known.
+/// Used fraction of the link if a part of 13,300 tokens is requested every @p everyMs, measured
+/// once the demand is known.
 double linkUse(int everyMs)
 {
     constexpr double Tokens = 13'300;
@@ -38,7 +38,7 @@
     EXPECT_NEAR(linkUse(40), 13'300 / (40 * LinkTokensPerMs), 0.01);
 }
 
-// Three times as many fetches are wanted as the link can carry.
+// The demand is three times the capacity of the link.
 TEST(FetchShare, OfMoreThanTheLinkCarriesAShareIsFetched)
 {
     EXPECT_NEAR(linkUse(7), FetchShare::LinkPart, 0.08);
--- a/src/vanilladyke/policy/kept_cache_view_test.cpp
+++ b/src/vanilladyke/policy/kept_cache_view_test.cpp
@@ -30,7 +30,7 @@
     EXPECT_FALSE(view.holds(storeHere, first, "p", start));
 }
 
-// The store restarts and comes back empty. Requests sent there for their parts would wait in vain.
+// The store restarts and is empty. Guards against fetching parts that it no longer has.
 TEST(KeptCacheView, AStoreThatBeginsAnewHoldsNothing)
 {
     KeptCacheView view = viewOf(KeptCacheState::Followed);
@@ -45,12 +45,12 @@
     view.toldSaved(KeptCacheView::keyOf("s", "p"), start);
     EXPECT_TRUE(view.holds(storeHere, "s", "p", start));
     view.reset(storeHere, KeptCacheState::Down);
-    EXPECT_FALSE(view.holds(storeHere, "s", "p", start)) << "asking costs hundreds of ms";
+    EXPECT_FALSE(view.holds(storeHere, "s", "p", start)) << "a request to it costs hundreds of ms";
     EXPECT_EQ(view.state(Endpoint{"10.9.9.9", 1}), KeptCacheState::Down);
 }
 
-// The store lets eight nodes of seventy follow its events. The others saved every part with every
-// request, and each prompt's own part pushed the shared ones out.
+// The store accepts eight followers out of seventy nodes. Guards against the others saving every
+// part with every request, so that parts of single prompts evict the shared ones.
 TEST(KeptCacheView, ANodeThatCantFollowGoesByWhatNodesTellThatTheySaved)
 {
     KeptCacheView view = viewOf(KeptCacheState::Unknown);
@@ -58,14 +58,14 @@
     view.toldSaved(KeptCacheView::keyOf("s", "p"), start);
     EXPECT_TRUE(view.holds(storeHere, "s", "p", start));
     EXPECT_FALSE(view.holds(storeHere, "s", "p", start + KeptCacheView::ToldLife))
-            << "it may be pushed out";
+            << "it may have been evicted";
     view.reset(storeHere, KeptCacheState::Followed);
     EXPECT_FALSE(view.holds(storeHere, "s", "p", start))
-            << "what is followed is not believed by hearsay";
+            << "updates of nodes are ignored for a followed store";
 }
 
-// Each of three data centres has a store. One for all would have a third of the memory and of the
-// link, and each part in all three would leave each with a third of the parts.
+// Each of three data centres has a store. A single store for all would have a third of the memory
+// and link capacity, and keeping each part in all three would leave room for a third of the parts.
 TEST(KeptCacheView, APartIsKeptBesideItsHome)
 {
     KeptCacheView view;
--- a/src/vanilladyke/policy/part_holders.cpp
+++ b/src/vanilladyke/policy/part_holders.cpp
@@ -87,7 +87,7 @@
         item = item->second.empty() ? m_parts.erase(item) : std::next(item);
     }
     if (m_written.size() > MostBackends) {
-        m_parts.clear(); // marks mean nothing without the counts that they are of
+        m_parts.clear(); // the recorded counts are invalid without m_written
         m_written.clear();
     }
 }
--- a/src/vanilladyke/policy/part_holders_test.cpp
+++ b/src/vanilladyke/policy/part_holders_test.cpp
@@ -28,8 +28,8 @@
     EXPECT_FALSE(holders.holds(about(7, 3), 1, at(30'000)));
 }
 
-// Fourteen guides have their home at an engine whose memory is full with ten. By the time that the
-// first comes again it is pushed out, and has to be fetched, not believed to be there.
+// Fourteen parts are sent to an engine whose cache holds ten. Guards against treating the first one
+// as cached at its next use although it was evicted and has to be fetched.
 TEST(PartHolders, WhatWasWrittenSinceTellsThatAPartIsPushedOut)
 {
     PartHolders holders;
@@ -39,7 +39,7 @@
     EXPECT_FALSE(holders.holds(about(0, 3), 1, at(1500)));
     EXPECT_TRUE(holders.holds(about(8, 3), 1, at(1500)));
     holders.used({8, 1, 3, 3'000}, at(1600));
-    EXPECT_TRUE(holders.holds(about(8, 3), 1, at(1700))) << "its use made it the newest";
+    EXPECT_TRUE(holders.holds(about(8, 3), 1, at(1700))) << "the use renewed it";
 }
 
 TEST(PartHolders, WithoutKnownMemoryTheTimeDecides)
@@ -50,7 +50,7 @@
     EXPECT_FALSE(holders.holds({7, 3, Tokens, 0}, 1, at(8000)));
 }
 
-// An engine took new weights: what it read under the old ones must not be fetched for the new.
+// Guards against fetching cached work for new weights that was computed under the old ones.
 TEST(PartHolders, WhatWasReadUnderOtherWeightsDoesNotCount)
 {
     PartHolders holders;
