--- a/include/vanilladyke/policy/draining_work.hpp
+++ b/include/vanilladyke/policy/draining_work.hpp
@@ -2,21 +2,22 @@
 
 #include "vanilladyke/policy/waiting_work.hpp"
 
-/// What other nodes said waits at an engine, less what the engine has read since they said so.
+/// Backlog that other nodes reported for an engine, less what the engine has processed since.
 ///
-/// Load pattern: hundreds of nodes tell of their load right after they sent a long prompt, and next
-/// when they send another one, seconds later. The prompt is read within a tenth of a second. Were
-/// it to count until the node tells anew, an engine that is idle for nine tenths of the time would
-/// look as if a queue of many prompts stood before it: nodes leave the engines that have the
-/// prompts' parts, and refuse requests that would not have waited.
+/// Load pattern: each of hundreds of nodes reports its load right after it sent a long prompt, and
+/// the next time when it sends another one, seconds later. The prefill of the prompt takes a tenth
+/// of a second. If the prompt counted until the node's next report, an engine that is idle for nine
+/// tenths of the time would appear to have a queue of many prompts: nodes would leave the engines
+/// that have the prompts' parts cached, and refuse requests that would not have waited.
 namespace vanilladyke {
 
-/// @brief Work of one engine as told by others. Pure. An engine reads a millisecond of it in each
-/// millisecond, the most urgent first; parts of one urgency drain in proportion.
+/// @brief Reported backlog of one engine. Pure.
+/// One millisecond of it drains per millisecond, the most urgent first; reports of one urgency
+/// drain in proportion.
 class DrainingWork
 {
 public:
-    /// @brief What one node told, and when, so that what is left of it can be taken back.
+    /// @brief One node's report and its time, by which the remainder of it can be removed.
     struct Told
     {
         struct Mark
@@ -29,17 +30,17 @@
     };
 
     [[nodiscard]] Told add(const WaitingWork &work, TimePoint now);
-    /// @brief Removes what is left of it: the node tells anew, or is gone.
+    /// @brief Removes the remainder of a report: the node sent a new one, or is gone.
     void takeBack(const Told &told, TimePoint now);
-    /// @brief What is ahead of a request of that urgency that comes now.
+    /// @brief Backlog ahead of a new request of that urgency.
     [[nodiscard]] Millis ahead(int urgency, TimePoint now) const;
 
 private:
     struct Level
     {
-        double left = 0;           ///< ms
-        double share = 1;          ///< of what was told since the level was empty
-        std::uint32_t emptied = 0; ///< how often the level became empty
+        double left = 0;  ///< remaining ms
+        double share = 1; ///< remaining fraction of a report made when the level was last empty
+        std::uint32_t emptied = 0; ///< how often the level has become empty
     };
 
     void drain(TimePoint now);
--- a/include/vanilladyke/policy/engine_limit.hpp
+++ b/include/vanilladyke/policy/engine_limit.hpp
@@ -6,70 +6,74 @@
 #include <optional>
 #include <unordered_map>
 
-/// How many requests all nodes together may send to an engine that names a limit.
+/// Enforces a rate limit that an engine sets for all nodes together.
 ///
-/// Load pattern: an engine in need says how many requests a second it takes, a few, from hundreds
-/// of nodes that each hear it with answers of their own. Were each to take it for its own share,
-/// the engine would get hundreds of times too many; were it divided evenly, the nodes whose
-/// callers need the engine would wait while the others waste their parts.
+/// Load pattern: an overloaded engine announces that it takes a few requests a second, to hundreds
+/// of nodes, each of which receives the limit with its own answers. If each node took it as its own
+/// limit, the engine would get hundreds of times too many requests. If it were divided evenly,
+/// nodes whose callers need the engine would wait while others leave their share unused.
 ///
-/// All nodes therefore draw on one bucket, of which each keeps its own copy: it fills at the limit,
-/// and sends of this node and, as they are told, of all others empty it. Two nodes that take the
-/// same token before they hear of each other make a debt that both pay before the next one, so that
-/// the sum holds over seconds. Where many compete for each token the debt is large: each node then
-/// takes one by a chance that falls with the debts that it sees and rises with tokens that nobody
-/// took. What is told is a count that only grows: a datagram that is lost is made up for by the
-/// next.
+/// All nodes therefore share one token bucket, of which each keeps a copy. It fills at the limit,
+/// and is emptied by the requests of this node and, as updates arrive, of all others. Two nodes
+/// that take the same token before they receive each other's update leave a debt that both have to
+/// refill before the next token, so that the sum holds over seconds. With many competing nodes this
+/// debt is large: each node then takes a token only with a probability that falls with the observed
+/// debts and rises with tokens left unused. Updates carry a cumulative count: a lost datagram is
+/// made up for by the next.
 ///
-/// The limit lasts as long as the engine's answers name it. The newest answer that any node got
-/// decides; nodes tell only what their own answers said, so that an old word dies out. An engine
-/// that began anew has another id and none of this.
+/// The limit holds as long as the engine's answers carry it. The most recent answer at any node
+/// decides. Nodes report only what their own answers carried, so that outdated limits are not
+/// passed on forever. A restarted engine has a new id and no limit.
 namespace vanilladyke {
 
-/// @brief What one node tells others of an engine's limit.
+/// @brief Limit update: what one node sends to others about an engine's limit.
 struct LimitNews
 {
     std::uint64_t backend = 0;       ///< hash of the engine's id
-    bool isObserved = false;         ///< an answer that this node got said what follows
-    std::optional<double> perSecond; ///< none: the engine named no limit any more
+    bool isObserved = false;         ///< an answer to this node carried the following values
+    std::optional<double> perSecond; ///< none: the engine has lifted its limit
     Duration age{};                  ///< of that answer
-    std::uint32_t sent = 0;          ///< requests of this node since it knew of the limit
+    std::uint32_t sent = 0;          ///< requests of this node since it received the limit
 };
 
-/// @brief One node's view of one engine's limit. Pure.
+/// @brief The view that one node has of the limit of one engine. Pure.
 class EngineLimit
 {
 public:
-    /// Also an engine that takes nothing has to be asked now and then whether that still holds.
+    /// An engine with a limit of zero still gets a request now and then, because only an answer
+    /// shows the end of the limit.
     static constexpr double LeastPerSecond = 0.25;
-    /// An answer that the engine wrote before it named a limit may be read after one that does.
+    /// A change to "no limit" has to be this much newer than the answer with the limit: answers may
+    /// be read out of order.
     static constexpr Duration LiftMargin = std::chrono::milliseconds(250);
-    /// How long a node tells of a limit that is over.
+    /// How long a node reports the end of a limit.
     static constexpr Duration TellLiftFor = std::chrono::seconds(5);
 
-    /// @brief An answer that this node got named the limit, or none.
-    /// @return whether the limit is another than before
+    /// @brief Records the limit that an answer to this node carried, or none.
+    /// @return whether the limit changed
     bool observed(std::optional<double> perSecond, TimePoint now);
-    /// @brief Another node's word. @return whether the limit is another than before
+    /// @brief Applies the update of another node. @return whether the limit changed
     bool heard(std::uint64_t node, const LimitNews &news, TimePoint now);
-    /// @brief A request of this node goes out to the engine.
+    /// @brief Records that this node sent a request to the engine.
     void sent(TimePoint now);
 
     [[nodiscard]] std::optional<double> perSecond() const { return m_perSecond; }
-    /// @brief Whether a request may go there now. @param draw in [0, 1), for this request
+    /// @brief Whether a request may be sent now. @param draw random number in [0, 1), a new one for
+    /// each request
     [[nodiscard]] bool allows(double draw, TimePoint now) const;
-    /// @brief How much of what may be saved up is used, in [0, 1].
+    /// @brief Used fraction of the bucket's capacity, in [0, 1].
     [[nodiscard]] double scarcity(TimePoint now) const;
-    /// @brief When one may go there next.
+    /// @brief When the next request may be sent.
     [[nodiscard]] TimePoint opensAt(TimePoint now) const;
-    /// @return none if there is nothing to tell
+    /// @brief The update to send. @return none if there is nothing to report
     [[nodiscard]] std::optional<LimitNews> toTell(TimePoint now) const;
 
 private:
-    /// Of the bucket, in requests: LeastBurst, or what half a second allows.
+    /// Capacity of the bucket in requests: the larger of LeastBurst and BurstSeconds at the limit.
     static constexpr double LeastBurst = 2;
     static constexpr double BurstSeconds = 0.5;
-    /// A debt is paid within this time at most, so that a wrong count closes no engine.
+    /// Bounds the time in which a debt is refilled, so that a wrong count cannot exclude an engine
+    /// for long.
     static constexpr double MostDebtSeconds = 2;
     static constexpr double MostCompetitors = 64;
 
@@ -87,10 +91,10 @@
     void take(double count, TimePoint now);
 
     std::optional<double> m_perSecond;
-    TimePoint m_observedAt; ///< the answer that decided, whoever got it
+    TimePoint m_observedAt; ///< time of the most recent answer at any node
     std::optional<Observation> m_own;
-    double m_level = 0;       ///< requests that may go now; below zero: sent too many
-    double m_competitors = 1; ///< nodes that would take one token before they hear of each other
+    double m_level = 0;       ///< available tokens; negative: too many requests were sent
+    double m_competitors = 1; ///< estimated number of nodes that compete for one token
     TimePoint m_levelAt;
     std::uint32_t m_sent = 0;
     std::unordered_map<std::uint64_t, std::uint32_t> m_othersSent;
--- a/include/vanilladyke/policy/engine_pace.hpp
+++ b/include/vanilladyke/policy/engine_pace.hpp
@@ -4,38 +4,39 @@
 
 #include <chrono>
 
-/// How fast the engines of a service read prompts, learned from what requests took.
+/// Prefill throughput of the engines of a service, learned from the durations of requests.
 ///
-/// Load pattern: deployments differ in their engines. One reads 112 tokens in a millisecond,
-/// another 40, and no configuration says so. A node that believes the wrong one sends requests
-/// where they wait for seconds, or fetches what is sooner read.
+/// Load pattern: deployments differ in their engines. One prefills 112 tokens per millisecond,
+/// another 40, and no configuration says so. With a wrong value a node sends requests where they
+/// wait for seconds, or fetches what would be prefilled sooner.
 namespace vanilladyke {
 
-/// @brief Predicted times and charges, which are compared and added, never awaited.
+/// @brief Unit of predicted times and penalties, which are added and compared but never waited for.
 using Millis = std::chrono::duration<double, std::milli>;
 
-/// @brief A line through times to the first token by tokens read, fitted with forgetting. Pure.
+/// @brief Linear fit of the time to the first token over the number of prefilled tokens, with
+/// exponential forgetting. Pure.
 ///
-/// Only requests that met no other waiting request count: the others' times say more of the queue.
-/// A time counts as three times its prediction at most, so that a request that fell on an engine in
-/// trouble moves the line little, and engines that are slow throughout are still learned.
+/// Only requests that met no other waiting request count; the times of the others are dominated by
+/// the queue. A sample is capped at three times its prediction, so that a request at a failing
+/// engine changes the fit little, while engines that are slow throughout are still learned.
 class EnginePace
 {
 public:
-    /// Before anything is known: slow enough that a burst at the start is spread.
+    /// Initial value: slow enough that a burst right after the start is spread.
     static constexpr double FirstTokensPerMs = 60;
     static constexpr Millis FirstFixed{30};
-    /// Bounds of what is learned, whatever engines do.
+    /// Bounds of the learned value.
     static constexpr double LeastTokensPerMs = 0.5;
     static constexpr double MostTokensPerMs = 5000;
 
     EnginePace();
 
-    /// @brief A request's first token came. @param tokens of its prompt that the engine read
+    /// @brief Adds a sample: a first token arrived. @param tokens that the engine prefilled
     void observed(double tokens, Millis took);
-    /// @brief Time to the first token of a request that nothing is ahead of.
+    /// @brief Predicted time to the first token without a backlog.
     [[nodiscard]] Millis predict(double tokens) const { return m_fixed + reading(tokens); }
-    /// @brief Of it, what grows with the tokens.
+    /// @brief The part of it that is proportional to the tokens.
     [[nodiscard]] Millis reading(double tokens) const { return Millis(tokens * m_perToken); }
     [[nodiscard]] double tokensPerMs() const { return 1 / m_perToken; }
 
@@ -43,7 +44,7 @@
     void add(double weight, double tokens, double millis);
     void fit();
 
-    double m_weight = 0; ///< of all samples, and their weighted sums
+    double m_weight = 0; ///< weighted sums over all samples
     double m_x = 0;
     double m_y = 0;
     double m_xx = 0;
@@ -52,11 +53,11 @@
     Millis m_fixed = FirstFixed;
 };
 
-/// @brief How long requests of a service stay at its servers, from sending to their end. Pure.
+/// @brief Mean time from sending a request of a service until its end. Pure.
 class RunLength
 {
 public:
-    /// Bounds of what is learned, whatever servers do.
+    /// Bounds of the learned value.
     static constexpr Millis Least{20};
     static constexpr Millis Most{5000};
 
@@ -64,27 +65,28 @@
     [[nodiscard]] Millis mean() const { return m_mean; }
 
 private:
-    Millis m_mean{300}; ///< before anything is known
+    Millis m_mean{300}; ///< until there are samples
 };
 
-/// @brief How much slower than its service's pace an engine is. Pure.
+/// @brief Slowdown of an engine relative to the throughput of its service. Pure.
 ///
-/// Load pattern: one of nine engines works four times as long as the others for some seconds. Its
-/// queue looks no longer than theirs, so that it gets its share of the requests, all late.
+/// Load pattern: one of nine engines takes four times as long as the others for some seconds. Its
+/// queue looks no longer than theirs, so that it gets its share of the requests, and all of them
+/// are late.
 class EngineSlowness
 {
 public:
     static constexpr double Least = 0.5;
     static constexpr double Most = 8;
-    /// An engine that is avoided shows nothing of itself and is tried again.
+    /// An avoided engine gives no samples; the factor decays so that it is tried again.
     static constexpr Duration HalfLife = std::chrono::seconds(4);
 
-    /// @param ratio of a measured time to its prediction at the service's pace
+    /// @param ratio of a measured time to the one predicted for the service
     void observed(double ratio, TimePoint now);
     [[nodiscard]] double factor(TimePoint now) const;
 
 private:
-    double m_log = 0; ///< logarithm of the factor when it was last observed
+    double m_log = 0; ///< logarithm of the factor at m_at
     TimePoint m_at;
 };
 
--- a/include/vanilladyke/policy/second_send_budget.hpp
+++ b/include/vanilladyke/policy/second_send_budget.hpp
@@ -6,38 +6,39 @@
 #include <deque>
 #include <unordered_map>
 
-/// Bounds how many requests all nodes together send to a second backend server.
+/// Limits the retries of all nodes together at a second backend server.
 ///
-/// Load pattern: half of a service's servers begin to refuse, and every node sends every request
-/// again. Each node knows only its own part, so that it bounds its own part: the sum over nodes of
-/// ratio × own requests is ratio × all requests, and the fixed extra is divided by the number of
-/// nodes that there may be. Counted over a sliding window in slices; a slice that has begun to
-/// leave the window no longer earns, and one that is only partly in it still counts as spent, so
-/// that a window at any offset stays within the bound.
+/// Load pattern: half of a service's servers begin to refuse, and every node retries every request.
+/// A node only sees its own requests and therefore limits its own retries: the sum over all nodes
+/// of ratio × own requests is ratio × all requests, and the fixed extra is divided by the number of
+/// nodes that may exist. Requests and retries are counted in slices of a sliding window. A slice
+/// that has begun to leave the window no longer earns retries, while one that is partly in it still
+/// counts as spent; this keeps a window at any offset within the limit.
 namespace vanilladyke {
 
-/// @brief What the platform allows.
+/// @brief Limits set by the platform.
 struct SecondSendTerms
 {
-    double ratio = 0.2; ///< of the requests of the window
-    double extra = 0;   ///< over all nodes
+    double ratio = 0.2; ///< retries per request within the window
+    double extra = 0;   ///< for all nodes together
     Duration window = std::chrono::seconds(10);
-    std::size_t nodes = 1; ///< among which the extra is divided; at least one
+    std::size_t nodes = 1; ///< nodes among which the extra is divided; at least one
 };
 
-/// @brief The budget of one node for all services. Pure.
+/// @brief Retry budget of one node for all services. Pure.
 class SecondSendBudget
 {
 public:
     static constexpr int Slices = 20;
-    /// Part of the allowance that is used: requests counted here may be judged a window later.
+    /// Fraction of the limit that is used: requests counted here may fall into a window that is
+    /// checked later.
     static constexpr double Margin = 0.8;
 
     void setTerms(const SecondSendTerms &terms) { m_terms = terms; }
-    /// @brief More nodes are known among which the extra is divided.
+    /// @brief Sets the number of nodes among which the extra is divided.
     void setNodes(std::size_t nodes) { m_terms.nodes = nodes; }
     void countRequest(const ServiceId &service, TimePoint now);
-    /// @brief Takes one second send if the window still allows it.
+    /// @brief Takes one retry from the budget if the window allows it.
     [[nodiscard]] bool spend(const ServiceId &service, TimePoint now);
 
 private:
--- a/include/vanilladyke/policy/wait_limit.hpp
+++ b/include/vanilladyke/policy/wait_limit.hpp
@@ -4,30 +4,32 @@
 
 #include <optional>
 
-/// Whether a request goes where it would wait, or is refused at once.
+/// Decides whether a request is sent to the selected server or refused because of its predicted
+/// wait.
 ///
-/// Load pattern: engines are lost, or callers come at one and a half times what engines read. Sent
-/// on, every request waits for seconds at its engine: all first tokens are late, callers leave, and
-/// what was read for them is lost. Refused at once while the wait is above a part of the target,
-/// those that go are in time, and those that don't can come back when the queue has drained.
+/// Load pattern: engines fail, or the load rises to one and a half times the capacity. If all
+/// requests were sent, each would wait for seconds at its engine: all first tokens would be late,
+/// callers would give up, and the prefill done for them would be lost. If requests are refused
+/// while the wait exceeds a fraction of the target, those that are sent are in time, and the others
+/// can retry when the queue has drained.
 ///
-/// Only the wait decides, not how long the prompt itself takes to read: otherwise the longest
-/// prompts would be refused always, at any load.
+/// Only the wait counts, not the prefill time of the prompt itself; otherwise the longest prompts
+/// would be refused at any load.
 namespace vanilladyke {
 
-/// @brief What decides for one request.
+/// @brief Limits for one request.
 struct WaitTerms
 {
-    Duration target{};  ///< within which the first token is worth most
+    Duration target{};  ///< the first token has its full value within this time
     TimePoint deadline; ///< of the caller
-    /// Of the target that may be spent on waiting; the rest is for reading and for what the
-    /// prediction misses.
+    /// Fraction of the target that may be spent waiting; the rest is for the prefill and for
+    /// prediction errors.
     double mostPart = 0.5;
 };
 
-/// @brief When a request that is refused now may come back.
-/// @param waits predicted time at the best server until what is ahead was read
-/// @return none if it may go there
+/// @brief When a refused request may retry.
+/// @param waits predicted time until the selected server has processed the backlog ahead
+/// @return none if the request may be sent
 [[nodiscard]] std::optional<TimePoint> refusedUntil(const WaitTerms &terms, Millis waits,
                                                     TimePoint now);
 
--- a/include/vanilladyke/policy/waiting_work.hpp
+++ b/include/vanilladyke/policy/waiting_work.hpp
@@ -8,19 +8,19 @@
 
 namespace vanilladyke {
 
-/// @brief Predicted reading time of requests that wait at an engine, by their urgency.
+/// @brief Predicted prefill time of the requests that wait at an engine, by urgency.
 ///
-/// Load pattern: long prompts of low urgency queue for seconds at every engine, and short checks
-/// overtake them there. Were all that waits to count for a check, it would leave the engine that
-/// has its prompt for a wait that it doesn't have; were only checks to count for a long prompt, it
-/// would queue behind a dozen others.
+/// Load pattern: long prompts of low urgency queue for seconds at every engine, and short urgent
+/// requests overtake them there. If the whole backlog counted for an urgent request, it would leave
+/// the engine that has its prompt cached because of a wait that it does not have. If only urgent
+/// requests counted for a long prompt, it would queue behind a dozen others.
 class WaitingWork
 {
 public:
-    static constexpr int Urgencies = 10; ///< 0 goes first
+    static constexpr int Urgencies = 10; ///< 0 is the most urgent
 
     void add(int urgency, Millis time) { at(urgency) += time; }
-    /// @brief Takes back what was added; what rounding leaves is not negative.
+    /// @brief Subtracts time that was added before; never falls below zero by rounding.
     void remove(int urgency, Millis time)
     {
         at(urgency) = std::max(Millis::zero(), at(urgency) - time);
@@ -38,7 +38,7 @@
         }
     }
     [[nodiscard]] Millis of(int urgency) const { return m_parts.at(index(urgency)); }
-    /// @brief What is ahead of a request that comes now.
+    /// @brief Backlog ahead of a new request of that urgency.
     [[nodiscard]] Millis ahead(int urgency) const
     {
         Millis sum{};
--- a/src/vanilladyke/policy/draining_work.cpp
+++ b/src/vanilladyke/policy/draining_work.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// Below this what was told is as good as read, and shares stay far from the limits of a double.
+/// A smaller remainder counts as empty, which keeps the shares far from the limits of a double.
 constexpr double LeastShare = 1e-6;
 
 } // namespace
--- a/src/vanilladyke/policy/draining_work_test.cpp
+++ b/src/vanilladyke/policy/draining_work_test.cpp
@@ -19,8 +19,8 @@
     return result;
 }
 
-// A node tells of a prompt of 150 ms and falls silent. A second later the engine is long idle, and
-// whoever counts what was told refuses callers.
+// A node reports a prompt of 150 ms and sends no further update. Guards against refusing callers a
+// second later, when the engine has long been idle.
 TEST(DrainingWork, WhatWasToldIsReadAsTimePasses)
 {
     DrainingWork engine;
@@ -39,14 +39,14 @@
     EXPECT_EQ(engine.ahead(1, at(80)), Millis(0));
 }
 
-// A node tells anew: what is left of what it told before must not be taken from what other nodes
-// told, or their queues look empty.
+// A node sends a new report. Guards against subtracting its previous one from the reports of other
+// nodes, whose queues would then look empty.
 TEST(DrainingWork, TakingBackLeavesWhatOthersTold)
 {
     DrainingWork engine;
     const auto first = engine.add(work(4, 100), at(0));
     static_cast<void>(engine.add(work(4, 300), at(0)));
-    engine.takeBack(first, at(200)); // half of both is read
+    engine.takeBack(first, at(200)); // half of both has drained
     EXPECT_NEAR(engine.ahead(4, at(200)).count(), 150, 1e-6);
 }
 
--- a/src/vanilladyke/policy/engine_limit.cpp
+++ b/src/vanilladyke/policy/engine_limit.cpp
@@ -73,7 +73,7 @@
         isChanged = believe(observation, now);
         const bool isOver = isChanged && !m_perSecond;
         if (isOver) {
-            m_own.reset(); // a node that comes later must not take it for the newest word
+            m_own.reset(); // otherwise a node that joins later would apply the outdated limit
         }
     }
     if (!m_perSecond) {
@@ -120,7 +120,7 @@
 TimePoint EngineLimit::opensAt(TimePoint now) const
 {
     const double missing = 1 - levelAt(now);
-    // With a token there only chance was against it; the next one comes soon.
+    // A token is available, but the draw failed; the next draw may succeed soon.
     const double wait = missing > 0 ? missing / rate() : competitorsAt(now) * 0.02;
     return now + spanOfSeconds(wait);
 }
--- a/src/vanilladyke/policy/engine_limit_test.cpp
+++ b/src/vanilladyke/policy/engine_limit_test.cpp
@@ -16,7 +16,7 @@
 
 constexpr TimePoint Start{seconds(1000)};
 
-/// The limit's own figures: what may come in some Window, from Contact after it was named.
+/// The requirement: the number of requests in any Window, from Contact after the limit was set.
 constexpr Duration Window = seconds(4);
 constexpr Duration Contact = seconds(3);
 constexpr double Allowed = 1.5;
@@ -33,14 +33,14 @@
 {
     std::size_t nodes = 9;
     double limit = 5;
-    double demand = 15; ///< requests a second that would go to the engine, over all nodes
+    double demand = 15; ///< requests a second for the engine, over all nodes
     Duration telling = milliseconds(80);
-    double lost = 0.03;   ///< of the datagrams
-    double hotPart = 0.2; ///< of the demand that comes to the first node
+    double lost = 0.03;   ///< fraction of the datagrams
+    double hotPart = 0.2; ///< fraction of the demand at the first node
 };
 
-/// Nodes that want to send to one engine and tell each other each `telling`, at moments of their
-/// own.
+/// Nodes with requests for one engine that send each other updates every `telling`, with random
+/// offsets.
 class Replay
 {
 public:
@@ -140,8 +140,8 @@
     }
 }
 
-// Each node took the limit for its own, or sent what it wanted: the sum was several times the
-// limit.
+// Guards against each node using the limit as its own or ignoring it: the sum would be several
+// times the limit.
 TEST(EngineLimit, ReplayOfNineNodesKeepsTheSum)
 {
     for (const double limit : {0.5, 1.0, 2.5, 5.0, 20.0}) {
@@ -151,7 +151,8 @@
     }
 }
 
-// News of hundreds of nodes is half a second old: each would take the same token.
+// Updates of hundreds of nodes are half a second old. Guards against each node taking the same
+// token.
 TEST(EngineLimit, ReplayOfHundredsOfNodesKeepsTheSum)
 {
     for (const double limit : {1.0, 5.0}) {
@@ -161,7 +162,7 @@
     }
 }
 
-// Nodes that heard nothing of the engine themselves would send as before.
+// Guards against nodes that received no answer of the engine themselves sending without a limit.
 TEST(EngineLimit, HoldsAtNodesThatOnlyHearOfIt)
 {
     EngineLimit first;
@@ -174,21 +175,22 @@
     EXPECT_FALSE(second.toTell(Start + milliseconds(400)));
 }
 
-// A limit that is over went on at nodes that sent nothing there; an old word brought it back.
+// Guards against a lifted limit that remains at nodes without requests there, or that an outdated
+// update restores.
 TEST(EngineLimit, TheNewestAnswerOfAnyNodeDecides)
 {
     EngineLimit first;
     EngineLimit second;
     static_cast<void>(first.observed(5, Start));
     tell(first, 1, second, Start);
-    EXPECT_FALSE(
-            first.observed(std::nullopt, Start + milliseconds(100))); // written before the limit
+    EXPECT_FALSE(first.observed(
+            std::nullopt, Start + milliseconds(100))); // may have been written before the limit
     EXPECT_EQ(first.perSecond(), 5);
     EXPECT_TRUE(second.observed(8, Start + seconds(1)));
     tell(second, 2, first, Start + seconds(1));
     EXPECT_EQ(first.perSecond(), 8);
     EXPECT_TRUE(first.observed(std::nullopt, Start + seconds(2)));
-    tell(second, 2, first, Start + seconds(2)); // named a second ago
+    tell(second, 2, first, Start + seconds(2)); // an answer from a second ago
     EXPECT_FALSE(first.perSecond());
     tell(first, 1, second, Start + seconds(2));
     EXPECT_FALSE(second.perSecond());
@@ -200,8 +202,8 @@
     EXPECT_FALSE(first.toTell(Start + seconds(8)));
 }
 
-// An engine that takes nothing would never be asked again, and nobody would notice that its need is
-// over.
+// Guards against never sending to an engine with a limit of zero, which would hide the end of the
+// limit.
 TEST(EngineLimit, AnEngineThatTakesNothingIsAskedNowAndThen)
 {
     EngineLimit limit;
@@ -211,8 +213,8 @@
     EXPECT_TRUE(limit.allows(0, Start + seconds(5)));
 }
 
-// A datagram that is lost, or a node that began anew, would let through what others had sent
-// already.
+// Guards against a lost datagram or a restarted node letting through requests that others have
+// already sent.
 TEST(EngineLimit, CountsOfOthersMakeUpForLostDatagrams)
 {
     EngineLimit first;
@@ -221,13 +223,13 @@
     static_cast<void>(second.observed(2, Start));
     const TimePoint now = Start + seconds(1);
     first.sent(now);
-    first.sent(now); // its telling is lost
+    first.sent(now); // the update is lost
     first.sent(now);
     tell(first, 1, second, now);
     EXPECT_FALSE(second.allows(0, now + milliseconds(900)));
-    tell(first, 1, second, now + milliseconds(900)); // the same count again
+    tell(first, 1, second, now + milliseconds(900)); // the same count as before
     EXPECT_TRUE(second.allows(0, now + milliseconds(1100)));
-    EngineLimit anew; // counts from nothing
+    EngineLimit anew; // a restarted node counts from zero
     static_cast<void>(anew.observed(2, now));
     anew.sent(now + seconds(1));
     tell(anew, 1, second, now + seconds(1));
--- a/src/vanilladyke/policy/engine_pace.cpp
+++ b/src/vanilladyke/policy/engine_pace.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-/// What is kept of older samples with each new one: some fifty count.
+/// Weight of older samples after each new one: an effective window of some fifty samples.
 constexpr double Keep = 0.98;
-/// Two samples of each length stand for what is believed at the start.
+/// The initial values have the weight of two samples at each of two lengths.
 constexpr double PriorWeight = 2;
 constexpr double PriorShort = 500;
 constexpr double PriorLong = 8000;
--- a/src/vanilladyke/policy/engine_pace_test.cpp
+++ b/src/vanilladyke/policy/engine_pace_test.cpp
@@ -12,7 +12,8 @@
 namespace vanilladyke {
 namespace {
 
-/// Requests with lengths as callers send them, on engines whose times vary by a quarter.
+/// Engines with random throughput whose times vary by a quarter, and requests with realistic
+/// lengths.
 class Deployment
 {
 public:
@@ -37,8 +38,8 @@
     double fixed;
 };
 
-// Callers of a deployment whose engines read a tenth as fast as another's wait for seconds when the
-// router takes the one for the other.
+// Guards against using the throughput of one deployment for another whose engines are ten times
+// slower, where callers would wait for seconds.
 TEST(EnginePace, DeploymentsThatNobodyToldOfAreLearnedWithinAHundredRequests)
 {
     for (std::uint64_t seed = 1; seed <= 24; ++seed) {
@@ -58,7 +59,7 @@
     }
 }
 
-// An engine tells nonsense: the first token before the request, or after an hour.
+// Guards against invalid samples: a first token before the request, or after an hour.
 TEST(EnginePace, WhatIsLearnedStaysWithinBounds)
 {
     EnginePace pace;
@@ -72,7 +73,7 @@
     EXPECT_GE(pace.predict(0).count(), 0);
 }
 
-// One engine works four times as long for a few seconds and is sound again.
+// One engine takes four times as long for a few seconds and then recovers.
 TEST(EngineSlowness, IsNoticedWithinADozenRequestsAndForgotten)
 {
     EngineSlowness slowness;
--- a/src/vanilladyke/policy/second_send_budget_test.cpp
+++ b/src/vanilladyke/policy/second_send_budget_test.cpp
@@ -19,8 +19,8 @@
     return TimePoint(std::chrono::hours(1) + milliseconds(millis));
 }
 
-// All servers of a service refuse, and every node sends every request again as often as it may.
-// Without a bound over all nodes the service gets twice its load just when it is weak.
+// All servers of a service refuse, and every node retries as often as its budget allows. Guards
+// against doubling the load of a service that is already overloaded.
 TEST(SecondSendBudget, NodesTogetherStayBelowTheBoundInEveryWindow)
 {
     constexpr int Nodes = 6;
@@ -35,7 +35,7 @@
     for (int ms = 0; ms < 60'000; ++ms) {
         const bool isBurst = ms > 20'000 && ms < 23'000;
         if (uniform(random) < (isBurst ? 0.6 : 0.2)) {
-            // The balancer's hash is uneven: the first node gets half of all.
+            // The load balancer distributes unevenly: the first node gets half of all requests.
             const std::size_t i = uniform(random) < 0.5 ? 0 : uniformBelow(random, Nodes);
             nodes[i].countRequest(theService, at(ms));
             requests.push_back(ms);
--- a/src/vanilladyke/policy/wait_limit.cpp
+++ b/src/vanilladyke/policy/wait_limit.cpp
@@ -9,8 +9,8 @@
     if (waits <= most && now + wait < terms.deadline) {
         return std::nullopt;
     }
-    // By then half of what may be waited for has drained beside the excess, so that others who come
-    // back at the same time find room as well.
+    // By then the excess and half of the permitted wait have drained, so that other callers that
+    // retry at the same time find capacity as well.
     return now + std::chrono::duration_cast<Duration>(waits - most / 2);
 }
 
--- a/src/vanilladyke/policy/wait_limit_test.cpp
+++ b/src/vanilladyke/policy/wait_limit_test.cpp
@@ -20,11 +20,12 @@
 {
     int inTarget = 0;
     int late = 0;
-    int left = 0;    ///< callers that got nothing before their patience ended
-    int refused = 0; ///< twice, so that they come back no more
+    int left = 0;    ///< callers without an answer at their deadlines
+    int refused = 0; ///< refused twice; they do not retry again
 };
 
-/// Callers that come back once when told, before engines that read one prompt after the other.
+/// Callers that retry once at the given time, and an engine that prefills one prompt after the
+/// other.
 Outcome replay(double load, double mostPart, std::uint64_t seed)
 {
     constexpr double ReadMs = 100;
@@ -32,7 +33,7 @@
     struct Arrival
     {
         double at = 0;
-        double first = 0; ///< of its first attempt
+        double first = 0; ///< time of the first attempt
         bool isSecond = false;
         bool operator>(const Arrival &other) const { return at > other.at; }
     };
@@ -72,8 +73,8 @@
 
 constexpr double NoLimit = 1e9;
 
-// Callers come at one and a half times what the engine reads. Without a limit the queue grows until
-// everybody waits as long as anybody has patience for.
+// The load is one and a half times the engine's capacity. Guards against a queue that grows until
+// every caller waits until its deadline.
 TEST(WaitLimit, UnderOverloadThoseThatGoAreInTime)
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
@@ -86,8 +87,8 @@
     }
 }
 
-// At seven tenths of what the engine reads, now and then a few meet. At most one caller in fifty
-// may be turned away for good.
+// At seven tenths of the capacity a few requests occasionally coincide. At most one caller in fifty
+// may be refused twice.
 TEST(WaitLimit, AtUsualLoadHardlyAnybodyIsTurnedAwayTwice)
 {
     int refused = 0;
@@ -100,8 +101,8 @@
     EXPECT_LT(50 * refused, served);
 }
 
-// A prompt of fifty thousand tokens takes longer to read than its target. With nothing ahead of it
-// it is served all the same.
+// The prefill of a prompt of fifty thousand tokens exceeds its target. Without a backlog ahead it
+// is still served.
 TEST(WaitLimit, WhatThePromptItselfTakesIsNoReasonToRefuse)
 {
     const TimePoint now(std::chrono::hours(1));
@@ -109,7 +110,7 @@
     EXPECT_TRUE(refusedUntil({Target, now + milliseconds(50), 0.5}, Millis(100), now));
 }
 
-// A caller is told when to come back: not before the wait is within the limit.
+// The retry time given to a refused caller is not before the wait is within the limit.
 TEST(WaitLimit, TheTimeToComeBackFollowsFromTheWait)
 {
     const TimePoint now(std::chrono::hours(1));
