--- a/include/vanilladyke/policy/backend_choice.hpp
+++ b/include/vanilladyke/policy/backend_choice.hpp
@@ -43,7 +43,7 @@
     /// Servers with old weights are excluded after this time.
     Duration weightsTime = std::chrono::milliseconds(15000);
     /// Number of servers evaluated for a request if the service has more than
-    /// BackendBook::WholeUpTo.
+    /// BackendTracker::WholeUpTo.
     std::uint64_t reach = 12; ///< without a preferred engine: the first of the node's own order
     std::uint64_t homes = 3;  ///< with one: the first of the part's rendezvous order
     /// Shared parts with a shorter prefill, less than an engine step, have no preferred engine.
--- a/include/vanilladyke/policy/backend_book.hpp
+++ b/include/vanilladyke/policy/backend_tracker.hpp
@@ -49,7 +49,7 @@
 };
 
 /// @brief State of the backend servers as one node sees it. Pure.
-class BackendBook
+class BackendTracker
 {
 public:
     static constexpr Duration ReportLife = std::chrono::milliseconds(1000);
@@ -76,7 +76,7 @@
     static constexpr Duration TellWeightsFor = std::chrono::seconds(3);
 
     /// @param self seed of this node's order of servers, distinct for each node
-    BackendBook(DataCentreId here, BackendRates rates, std::uint64_t self = 0);
+    BackendTracker(DataCentreId here, BackendRates rates, std::uint64_t self = 0);
 
     /// @brief Replaces the list of servers; the state of those that remain is kept.
     void setBackends(const std::vector<BackendEntry> &serving);
--- a/include/vanilladyke/traffic/traffic_state.hpp
+++ b/include/vanilladyke/traffic/traffic_state.hpp
@@ -3,7 +3,7 @@
 #include "vanilladyke/base/metrics.hpp"
 #include "vanilladyke/base/random.hpp"
 #include "vanilladyke/model/work_digest.hpp"
-#include "vanilladyke/policy/backend_book.hpp"
+#include "vanilladyke/policy/backend_tracker.hpp"
 #include "vanilladyke/policy/kept_cache_view.hpp"
 #include "vanilladyke/policy/request_quarantine.hpp"
 #include "vanilladyke/policy/route_table.hpp"
@@ -72,7 +72,7 @@
     EngineEnds ends;
     Dialect dialect;
     TrafficSettings settings;
-    BackendBook book;
+    BackendTracker book;
     KeptCacheView kept;
     SecondSendBudget budget;
     WorkDigester digester;
--- a/src/vanilladyke/policy/backend_choice.cpp
+++ b/src/vanilladyke/policy/backend_choice.cpp
@@ -1,7 +1,7 @@
 #include "vanilladyke/policy/backend_choice.hpp"
 
 #include "vanilladyke/model/fleet_index.hpp"
-#include "vanilladyke/policy/backend_book.hpp"
+#include "vanilladyke/policy/backend_tracker.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -35,7 +35,7 @@
     return keyOf(homePart.empty() ? sharedPart : homePart);
 }
 
-std::optional<TimePoint> BackendBook::weightsEnd(const EngineId &id, const ModelId &model) const
+std::optional<TimePoint> BackendTracker::weightsEnd(const EngineId &id, const ModelId &model) const
 {
     const auto state = m_states.find(id);
     const auto dates = m_weightsDates.find(model);
@@ -45,8 +45,8 @@
     return dates->second.endOf(weightsOf(state->second, model), m_rates.weightsTime);
 }
 
-bool BackendBook::mayBegin(const State &state, const BackendQuery &query, const WeightsDates *dates,
-                           TimePoint now) const
+bool BackendTracker::mayBegin(const State &state, const BackendQuery &query,
+                              const WeightsDates *dates, TimePoint now) const
 {
     if (dates == nullptr) {
         return true;
@@ -61,17 +61,17 @@
     return now + begins + OldWeightsMargin < *end;
 }
 
-Millis BackendBook::readTime(const State &state, double tokens, TimePoint now)
+Millis BackendTracker::readTime(const State &state, double tokens, TimePoint now)
 {
     return state.pace->reading(tokens) * state.slowness.factor(now);
 }
 
-bool BackendBook::isSilent(const State &state, TimePoint now) const
+bool BackendTracker::isSilent(const State &state, TimePoint now) const
 {
     return state.unanswered > 0 && now - state.silentSince > SilenceToAvoid;
 }
 
-Millis BackendBook::waitOf(const State &state, int urgency, TimePoint now) const
+Millis BackendTracker::waitOf(const State &state, int urgency, TimePoint now) const
 {
     // The reported queue of the engine contains the requests of this node and of its peers, which
     // are predicted below; only requests of unknown nodes are added.
@@ -93,8 +93,8 @@
            + over * perSlot + slotsUsed * PlainCall;
 }
 
-Millis BackendBook::chargesOf(const State &state, const BackendQuery &query,
-                              const WeightsDates *dates, TimePoint now) const
+Millis BackendTracker::chargesOf(const State &state, const BackendQuery &query,
+                                 const WeightsDates *dates, TimePoint now) const
 {
     const std::uint64_t weights = weightsOf(state, query.model);
     Millis charges = state.entry.dataCentre == m_here ? Millis::zero() : m_rates.otherCentre;
@@ -114,8 +114,8 @@
     return charges;
 }
 
-DataCentreId BackendBook::homeCentre(const std::vector<const State *> &all,
-                                     std::uint64_t part) const
+DataCentreId BackendTracker::homeCentre(const std::vector<const State *> &all,
+                                        std::uint64_t part) const
 {
     const auto home =
             std::max_element(all.begin(), all.end(), [part](const State *a, const State *b) {
@@ -124,14 +124,14 @@
     return home == all.end() ? DataCentreId() : (*home)->entry.dataCentre;
 }
 
-std::uint64_t BackendBook::newestWeights(const ModelId &model) const
+std::uint64_t BackendTracker::newestWeights(const ModelId &model) const
 {
     const auto dates = m_weightsDates.find(model);
     return dates == m_weightsDates.end() ? 0 : dates->second.newest();
 }
 
-void BackendBook::keepHomes(const BackendQuery &query, std::size_t more, TimePoint now,
-                            std::vector<Candidate> *open) const
+void BackendTracker::keepHomes(const BackendQuery &query, std::size_t more, TimePoint now,
+                               std::vector<Candidate> *open) const
 {
     std::sort(open->begin(), open->end(),
               [](const Candidate &a, const Candidate &b) { return a.order > b.order; });
@@ -159,7 +159,7 @@
     *open = std::move(kept);
 }
 
-std::optional<TimePoint> BackendBook::opensLater(const State &state, TimePoint now) const
+std::optional<TimePoint> BackendTracker::opensLater(const State &state, TimePoint now) const
 {
     const TimePoint closedUntil = std::max(state.closedUntil, state.loadingUntil);
     if (closedUntil > now) {
@@ -171,8 +171,9 @@
     return state.limit.opensAt(now);
 }
 
-BackendBook::Weighed BackendBook::weigh(const BackendQuery &query, const WeightsDates *dates,
-                                        std::size_t more, TimePoint now, NoBackend *none) const
+BackendTracker::Weighed BackendTracker::weigh(const BackendQuery &query, const WeightsDates *dates,
+                                              std::size_t more, TimePoint now,
+                                              NoBackend *none) const
 {
     const std::vector<const State *> &all = m_byService.at(query.service);
     const bool hasHome = query.hasHome();
@@ -219,9 +220,10 @@
     return result;
 }
 
-const BackendBook::State *BackendBook::holderBeside(const State &engine,
-                                                    const PartHolders::Question &question,
-                                                    const BackendQuery &query, TimePoint now) const
+const BackendTracker::State *BackendTracker::holderBeside(const State &engine,
+                                                          const PartHolders::Question &question,
+                                                          const BackendQuery &query,
+                                                          TimePoint now) const
 {
     const State *best = nullptr;
     if (!m_rates.fetchesFromEngines) {
@@ -241,16 +243,16 @@
     return best;
 }
 
-double BackendBook::drawFor(std::uint64_t part, TimePoint now)
+double BackendTracker::drawFor(std::uint64_t part, TimePoint now)
 {
     constexpr double Scale = 1.0 / 9007199254740992.0; // 2^-53
     const auto nanos = static_cast<std::uint64_t>(now.time_since_epoch().count());
     return static_cast<double>(mixBits(part ^ mixBits(nanos)) >> 11U) * Scale;
 }
 
-BackendBook::Reading BackendBook::readingAt(const State &engine, const State &home,
-                                            const BackendQuery &query, const KeptStore *store,
-                                            TimePoint now) const
+BackendTracker::Reading BackendTracker::readingAt(const State &engine, const State &home,
+                                                  const BackendQuery &query, const KeptStore *store,
+                                                  TimePoint now) const
 {
     const PartHolders::Question question{query.partKey(), weightsOf(engine, query.model),
                                          query.sharedTokens, query.memoryTokens};
@@ -301,8 +303,8 @@
     return reading;
 }
 
-tl::expected<BackendChoice, NoBackend> BackendBook::choose(const BackendQuery &query,
-                                                           TimePoint now) const
+tl::expected<BackendChoice, NoBackend> BackendTracker::choose(const BackendQuery &query,
+                                                              TimePoint now) const
 {
     const auto service = m_byService.find(query.service);
     if (service == m_byService.end() || service->second.empty()) {
@@ -331,8 +333,8 @@
     return *chosen;
 }
 
-std::optional<BackendChoice> BackendBook::best(const BackendQuery &query, const Weighed &weighed,
-                                               TimePoint now) const
+std::optional<BackendChoice> BackendTracker::best(const BackendQuery &query, const Weighed &weighed,
+                                                  TimePoint now) const
 {
     const std::vector<Candidate> &open = weighed.open;
     if (open.empty()) {
--- a/src/vanilladyke/policy/backend_fleet_test.cpp
+++ b/src/vanilladyke/policy/backend_fleet_test.cpp
@@ -1,5 +1,5 @@
 #include "vanilladyke/base/random.hpp"
-#include "vanilladyke/policy/backend_book.hpp"
+#include "vanilladyke/policy/backend_tracker.hpp"
 #include "vanilladyke/policy/wait_limit.hpp"
 
 #include <gtest/gtest.h>
@@ -203,16 +203,16 @@
         while (!m_running.empty() && m_running.top().at <= ms) {
             const Running now = m_running.top();
             m_running.pop();
-            BackendBook &book = m_nodes[now.node];
+            BackendTracker &tracker = m_nodes[now.node];
             TrialEngine &engine = m_engines[now.engine];
             if (now.isEnd) {
                 --engine.open;
-                book.ended(now.choice, true, false, at(ms));
+                tracker.ended(now.choice, true, false, at(ms));
                 continue;
             }
             const int running = std::min<int>(engine.open, TrialEngine::Slots);
-            book.reported(now.choice.backend.id, running, engine.open - running, at(ms));
-            book.began(now.choice, at(ms));
+            tracker.reported(now.choice.backend.id, running, engine.open - running, at(ms));
+            tracker.began(now.choice, at(ms));
             constexpr double StepMs = 6;
             constexpr double Tokens = 8;
             m_running.push({ms + StepMs * Tokens, now.node, now.engine, now.choice, true});
@@ -343,7 +343,7 @@
 
     Load m_load;
     Random m_random;
-    std::vector<BackendBook> m_nodes;
+    std::vector<BackendTracker> m_nodes;
     std::vector<KeptCacheView> m_kept; ///< of each node
     std::vector<int> m_toldAt;         ///< ms, of each node
     std::vector<TrialLink> m_stores;
--- a/src/vanilladyke/policy/backend_slots_test.cpp
+++ b/src/vanilladyke/policy/backend_slots_test.cpp
@@ -1,6 +1,6 @@
 #include "vanilladyke/base/random.hpp"
 #include "vanilladyke/model/fleet_index.hpp"
-#include "vanilladyke/policy/backend_book.hpp"
+#include "vanilladyke/policy/backend_tracker.hpp"
 #include "vanilladyke/policy/wait_limit.hpp"
 
 #include <gtest/gtest.h>
@@ -202,17 +202,17 @@
     void happen(const Event &event, int ms)
     {
         const Sent &request = event.request;
-        BackendBook &book = m_nodes[request.node];
+        BackendTracker &tracker = m_nodes[request.node];
         SlotEngine &engine = m_engines[request.engine];
         if (event.isEnd) {
             --engine.running;
-            book.ended(request.choice, true, false, at(ms));
+            tracker.ended(request.choice, true, false, at(ms));
             startWhatFits(request.engine, ms);
             return;
         }
-        book.reported(request.choice.backend.id, engine.running,
-                      static_cast<int>(engine.waiting.size()), at(ms));
-        book.began(request.choice, at(ms));
+        tracker.reported(request.choice.backend.id, engine.running,
+                         static_cast<int>(engine.waiting.size()), at(ms));
+        tracker.began(request.choice, at(ms));
         if (ms > WarmUpMs) {
             ++m_outcome.served;
             m_outcome.late += event.at - request.sentAt > TargetMs ? 1 : 0;
@@ -222,7 +222,7 @@
 
     Random m_random;
     std::vector<SlotEngine> m_engines;
-    std::vector<BackendBook> m_nodes;
+    std::vector<BackendTracker> m_nodes;
     std::priority_queue<Event, std::vector<Event>, std::greater<>> m_events;
     Outcome m_outcome;
 };
--- a/src/vanilladyke/policy/backend_book.cpp
+++ b/src/vanilladyke/policy/backend_tracker.cpp
@@ -1,4 +1,4 @@
-#include "vanilladyke/policy/backend_book.hpp"
+#include "vanilladyke/policy/backend_tracker.hpp"
 
 #include "vanilladyke/model/fleet_index.hpp"
 
@@ -8,13 +8,13 @@
 
 namespace vanilladyke {
 
-BackendBook::BackendBook(DataCentreId here, BackendRates rates, std::uint64_t self)
+BackendTracker::BackendTracker(DataCentreId here, BackendRates rates, std::uint64_t self)
     : m_here(std::move(here))
     , m_rates(rates)
     , m_self(self)
 {}
 
-void BackendBook::setBackends(const std::vector<BackendEntry> &serving)
+void BackendTracker::setBackends(const std::vector<BackendEntry> &serving)
 {
     std::unordered_map<EngineId, State> next;
     m_byService.clear();
@@ -49,26 +49,26 @@
     }
 }
 
-const EnginePace &BackendBook::paceOf(const ServiceId &service) const
+const EnginePace &BackendTracker::paceOf(const ServiceId &service) const
 {
     static const EnginePace unknown;
     const auto known = m_paces.find(service);
     return known == m_paces.end() ? unknown : known->second;
 }
 
-std::uint64_t BackendBook::leastHomeTokens(const ServiceId &service) const
+std::uint64_t BackendTracker::leastHomeTokens(const ServiceId &service) const
 {
     const double tokens = m_rates.leastHomeReading.count() * paceOf(service).tokensPerMs();
     return static_cast<std::uint64_t>(tokens);
 }
 
-BackendBook::State *BackendBook::find(const EngineId &id)
+BackendTracker::State *BackendTracker::find(const EngineId &id)
 {
     const auto found = m_states.find(id);
     return found == m_states.end() ? nullptr : &found->second;
 }
 
-void BackendBook::loading(const EngineId &id, TimePoint until)
+void BackendTracker::loading(const EngineId &id, TimePoint until)
 {
     if (State *state = find(id)) {
         state->loadingUntil = until;
@@ -76,8 +76,8 @@
     }
 }
 
-void BackendBook::loaded(const EngineId &id, const ModelId &model, std::uint64_t version,
-                         TimePoint now)
+void BackendTracker::loaded(const EngineId &id, const ModelId &model, std::uint64_t version,
+                            TimePoint now)
 {
     if (State *state = find(id)) {
         learnWeights(*state, model, version);
@@ -87,7 +87,7 @@
     }
 }
 
-std::vector<BackendLoadNews> BackendBook::ownLoad(std::size_t most, TimePoint now) const
+std::vector<BackendLoadNews> BackendTracker::ownLoad(std::size_t most, TimePoint now) const
 {
     std::vector<BackendLoadNews> news;
     for (const auto &[id, state] : m_states) {
@@ -106,19 +106,19 @@
     return news;
 }
 
-double BackendBook::peersInFlight(const State &state, TimePoint now)
+double BackendTracker::peersInFlight(const State &state, TimePoint now)
 {
     const Millis age = std::max(Millis::zero(), Millis(now - state.peersInFlightAt));
     return state.peersInFlight * std::exp(-(age / state.runs->mean()));
 }
 
-void BackendBook::changePeersInFlight(State &state, double by, TimePoint now)
+void BackendTracker::changePeersInFlight(State &state, double by, TimePoint now)
 {
     state.peersInFlight = std::max(0.0, peersInFlight(state, now) + by);
     state.peersInFlightAt = now;
 }
 
-void BackendBook::subtract(const Peer &peer, TimePoint now)
+void BackendTracker::subtract(const Peer &peer, TimePoint now)
 {
     const Millis age = now - peer.heardAt;
     for (const PeerPart &part : peer.parts) {
@@ -131,8 +131,8 @@
     }
 }
 
-void BackendBook::heardLoad(std::uint64_t node, const std::vector<BackendLoadNews> &news,
-                            TimePoint now)
+void BackendTracker::heardLoad(std::uint64_t node, const std::vector<BackendLoadNews> &news,
+                               TimePoint now)
 {
     Peer &peer = m_peers[node];
     subtract(peer, now);
@@ -160,7 +160,7 @@
     }
 }
 
-void BackendBook::apply(const PlacementNews &news, TimePoint now)
+void BackendTracker::apply(const PlacementNews &news, TimePoint now)
 {
     m_holders.used({news.part, news.backend, news.weights, news.written}, now);
     if (news.store != 0) {
@@ -168,12 +168,12 @@
     }
 }
 
-std::vector<PlacementNews> BackendBook::takePlacements()
+std::vector<PlacementNews> BackendTracker::takePlacements()
 {
     return std::exchange(m_placements, {});
 }
 
-void BackendBook::heardPlacements(const std::vector<PlacementNews> &news, TimePoint now)
+void BackendTracker::heardPlacements(const std::vector<PlacementNews> &news, TimePoint now)
 {
     if (!m_rates.believesPlacements) {
         return;
@@ -183,7 +183,7 @@
     }
 }
 
-void BackendBook::forgetSilentPeers(TimePoint now)
+void BackendTracker::forgetSilentPeers(TimePoint now)
 {
     std::erase_if(m_peers, [&](const auto &item) {
         const bool isSilent = now - item.second.heardAt > PeerLife;
@@ -194,12 +194,12 @@
     });
 }
 
-bool BackendBook::weightsNamed(const NamedWeights &weights, DateGrounds grounds, TimePoint now)
+bool BackendTracker::weightsNamed(const NamedWeights &weights, DateGrounds grounds, TimePoint now)
 {
     return m_weightsDates[weights.model].add(weights.date, grounds, now, m_rates.weightsTime);
 }
 
-std::vector<NamedWeights> BackendBook::namedWeights() const
+std::vector<NamedWeights> BackendTracker::namedWeights() const
 {
     std::vector<NamedWeights> result;
     for (const auto &[model, dates] : m_weightsDates) {
@@ -210,25 +210,25 @@
     return result;
 }
 
-std::uint64_t BackendBook::weightsOf(const State &state, const ModelId &model)
+std::uint64_t BackendTracker::weightsOf(const State &state, const ModelId &model)
 {
     const auto found = state.entry.weights.find(model);
     return found == state.entry.weights.end() ? 0 : found->second;
 }
 
-void BackendBook::setTransferRates(const TransferRates &rates)
+void BackendTracker::setTransferRates(const TransferRates &rates)
 {
     m_rates.engineTokensPerMs = rates.engine > 0 ? rates.engine : m_rates.engineTokensPerMs;
     m_rates.keptTokensPerMs = rates.kept > 0 ? rates.kept : m_rates.keptTokensPerMs;
 }
 
-void BackendBook::learnWeights(State &state, const ModelId &model, std::uint64_t version)
+void BackendTracker::learnWeights(State &state, const ModelId &model, std::uint64_t version)
 {
     std::uint64_t &known = state.entry.weights[model];
     known = std::max(known, version);
 }
 
-void BackendBook::sent(const BackendChoice &choice, const BackendQuery &query, TimePoint now)
+void BackendTracker::sent(const BackendChoice &choice, const BackendQuery &query, TimePoint now)
 {
     State *const known = find(choice.backend.id);
     if (known == nullptr) {
@@ -260,7 +260,7 @@
     }
 }
 
-void BackendBook::waitsNoMore(State &state, const BackendChoice &choice)
+void BackendTracker::waitsNoMore(State &state, const BackendChoice &choice)
 {
     state.unanswered = std::max(0, state.unanswered - 1);
     state.waiting.remove(choice.urgency, choice.reading);
@@ -269,7 +269,7 @@
     }
 }
 
-void BackendBook::began(const BackendChoice &choice, TimePoint now)
+void BackendTracker::began(const BackendChoice &choice, TimePoint now)
 {
     State *const known = find(choice.backend.id);
     if (known == nullptr) {
@@ -290,7 +290,7 @@
     }
 }
 
-void BackendBook::ended(const BackendChoice &choice, bool hadBegun, bool failed, TimePoint now)
+void BackendTracker::ended(const BackendChoice &choice, bool hadBegun, bool failed, TimePoint now)
 {
     State *const known = find(choice.backend.id);
     if (known == nullptr) {
@@ -317,7 +317,7 @@
     }
 }
 
-void BackendBook::slotGivenBack(State &state, const BackendChoice &choice, TimePoint now)
+void BackendTracker::slotGivenBack(State &state, const BackendChoice &choice, TimePoint now)
 {
     if (state.begunAt.empty()) {
         return;
@@ -333,7 +333,7 @@
     }
 }
 
-void BackendBook::close(const EngineId &id, TimePoint now)
+void BackendTracker::close(const EngineId &id, TimePoint now)
 {
     State *const known = find(id);
     if (known == nullptr) {
@@ -344,7 +344,7 @@
     state.closedUntil = std::max(state.closedUntil, now + state.lastClose);
 }
 
-void BackendBook::reported(const EngineId &id, int running, int waiting, TimePoint now)
+void BackendTracker::reported(const EngineId &id, int running, int waiting, TimePoint now)
 {
     State *const known = find(id);
     if (known == nullptr) {
@@ -357,13 +357,13 @@
     state.reportedAt = now;
 }
 
-bool BackendBook::limitNamed(const EngineId &id, std::optional<double> perSecond, TimePoint now)
+bool BackendTracker::limitNamed(const EngineId &id, std::optional<double> perSecond, TimePoint now)
 {
     State *const known = find(id);
     return known != nullptr && known->limit.observed(perSecond, now);
 }
 
-std::vector<LimitNews> BackendBook::ownLimits(TimePoint now) const
+std::vector<LimitNews> BackendTracker::ownLimits(TimePoint now) const
 {
     std::vector<LimitNews> news;
     for (const auto &[id, state] : m_states) {
@@ -375,8 +375,8 @@
     return news;
 }
 
-std::vector<EngineId> BackendBook::heardLimits(std::uint64_t node,
-                                               const std::vector<LimitNews> &news, TimePoint now)
+std::vector<EngineId> BackendTracker::heardLimits(std::uint64_t node,
+                                                  const std::vector<LimitNews> &news, TimePoint now)
 {
     std::vector<EngineId> changed;
     for (const LimitNews &each : news) {
@@ -388,19 +388,19 @@
     return changed;
 }
 
-std::optional<double> BackendBook::limitOf(const EngineId &id) const
+std::optional<double> BackendTracker::limitOf(const EngineId &id) const
 {
     const auto known = m_states.find(id);
     return known == m_states.end() ? std::nullopt : known->second.limit.perSecond();
 }
 
-bool BackendBook::hasRoom(const EngineId &id, TimePoint now) const
+bool BackendTracker::hasRoom(const EngineId &id, TimePoint now) const
 {
     const auto known = m_states.find(id);
     return known == m_states.end() || !m_rates.keepsLimits || known->second.limit.allows(0, now);
 }
 
-std::size_t BackendBook::limitedEngines() const
+std::size_t BackendTracker::limitedEngines() const
 {
     return static_cast<std::size_t>(
             std::count_if(m_states.begin(), m_states.end(), [](const auto &item) {
@@ -408,14 +408,14 @@
             }));
 }
 
-void BackendBook::sawWeights(const EngineId &id, const ModelId &model, std::uint64_t version)
+void BackendTracker::sawWeights(const EngineId &id, const ModelId &model, std::uint64_t version)
 {
     if (State *state = find(id)) {
         learnWeights(*state, model, version);
     }
 }
 
-void BackendBook::doubtWeights(const EngineId &id, const ModelId &model, TimePoint now)
+void BackendTracker::doubtWeights(const EngineId &id, const ModelId &model, TimePoint now)
 {
     State *const state = find(id);
     if (state == nullptr) {
@@ -430,17 +430,17 @@
     close(id, now);
 }
 
-std::uint64_t BackendBook::hashOf(const EngineId &id)
+std::uint64_t BackendTracker::hashOf(const EngineId &id)
 {
     return hashOfName(id.str());
 }
 
-std::uint64_t BackendBook::hashOf(const Endpoint &store)
+std::uint64_t BackendTracker::hashOf(const Endpoint &store)
 {
     return hashOfName(store.str());
 }
 
-int BackendBook::inFlight(const EngineId &id) const
+int BackendTracker::inFlight(const EngineId &id) const
 {
     const auto found = m_states.find(id);
     return found == m_states.end() ? 0 : found->second.inFlight;
--- a/src/vanilladyke/policy/backend_book_test.cpp
+++ b/src/vanilladyke/policy/backend_tracker_test.cpp
@@ -1,4 +1,4 @@
-#include "vanilladyke/policy/backend_book.hpp"
+#include "vanilladyke/policy/backend_tracker.hpp"
 
 #include "vanilladyke/base/random.hpp"
 
@@ -58,43 +58,43 @@
 
 // Guards against several requests using one token of a rate limit while they wait for their
 // connections.
-TEST(BackendBook, ATokenThatAnotherRequestTookMeanwhileIsGone)
+TEST(BackendTracker, ATokenThatAnotherRequestTookMeanwhileIsGone)
 {
-    BackendBook book(hereCentre, {});
-    book.setBackends(fleet(1));
-    EXPECT_TRUE(book.limitNamed(EngineId("e0"), 2, at(0)));
-    EXPECT_FALSE(book.choose(shortPrompt(1), at(10)));
-    const auto first = book.choose(shortPrompt(1), at(600));
-    const auto second = book.choose(shortPrompt(2), at(600));
+    BackendTracker tracker(hereCentre, {});
+    tracker.setBackends(fleet(1));
+    EXPECT_TRUE(tracker.limitNamed(EngineId("e0"), 2, at(0)));
+    EXPECT_FALSE(tracker.choose(shortPrompt(1), at(10)));
+    const auto first = tracker.choose(shortPrompt(1), at(600));
+    const auto second = tracker.choose(shortPrompt(2), at(600));
     ASSERT_TRUE(first && second);
-    EXPECT_TRUE(book.hasRoom(EngineId("e0"), at(601)));
-    book.sent(*first, shortPrompt(1), at(601));
-    EXPECT_FALSE(book.hasRoom(EngineId("e0"), at(602)));
-    EXPECT_EQ(book.limitedEngines(), 1U);
+    EXPECT_TRUE(tracker.hasRoom(EngineId("e0"), at(601)));
+    tracker.sent(*first, shortPrompt(1), at(601));
+    EXPECT_FALSE(tracker.hasRoom(EngineId("e0"), at(602)));
+    EXPECT_EQ(tracker.limitedEngines(), 1U);
 }
 
 // Guards against calls of a plain service being refused or moved because each call ahead of them
 // was assumed to take 30 ms, whatever the service's calls take.
-TEST(BackendBook, ACallWithoutASlotWaitsForTheServicesOwnCalls)
+TEST(BackendTracker, ACallWithoutASlotWaitsForTheServicesOwnCalls)
 {
     constexpr int Slots = 6;
     constexpr int CallMs = 120;
     auto entries = fleet(1);
     entries[0].slots = Slots;
-    BackendBook book(hereCentre, {});
-    book.setBackends(entries);
+    BackendTracker tracker(hereCentre, {});
+    tracker.setBackends(entries);
     BackendQuery call;
     call.service = llmService;
     for (int i = 0; i < 100; ++i) {
-        const auto choice = book.choose(call, at(i * 1000));
-        book.sent(*choice, call, at(i * 1000));
-        book.began(*choice, at(i * 1000 + CallMs));
-        book.ended(*choice, true, false, at(i * 1000 + CallMs));
+        const auto choice = tracker.choose(call, at(i * 1000));
+        tracker.sent(*choice, call, at(i * 1000));
+        tracker.began(*choice, at(i * 1000 + CallMs));
+        tracker.ended(*choice, true, false, at(i * 1000 + CallMs));
     }
     for (int i = 0; i < 2 * Slots; ++i) {
-        book.sent(*book.choose(call, at(200'000)), call, at(200'000));
+        tracker.sent(*tracker.choose(call, at(200'000)), call, at(200'000));
     }
-    const Millis waits = book.choose(call, at(200'000))->waits;
+    const Millis waits = tracker.choose(call, at(200'000))->waits;
     constexpr int Ahead = Slots + 1;
     EXPECT_GT(waits, Millis(Ahead * CallMs / Slots) * 0.8);
     EXPECT_LT(waits, Millis(Ahead * CallMs / Slots) * 1.3);
@@ -102,10 +102,10 @@
 
 // Guards against nodes without any cache updates choosing different engines for a shared part, each
 // of which would then prefill it.
-TEST(BackendBook, NodesThatDoNotTalkSendASharedPartToTheSameEngine)
+TEST(BackendTracker, NodesThatDoNotTalkSendASharedPartToTheSameEngine)
 {
-    BackendBook one(hereCentre, {});
-    BackendBook two(hereCentre, {});
+    BackendTracker one(hereCentre, {});
+    BackendTracker two(hereCentre, {});
     one.setBackends(fleet(18));
     auto reversed = fleet(18);
     std::reverse(reversed.begin(), reversed.end());
@@ -127,17 +127,17 @@
 // New weights are loaded on a third of 120 engines, and the preferred engines of most parts still
 // run older ones. Guards against sending two thirds of the long prompts to replaced weights, and
 // against each node choosing a different engine on new weights, which would repeat the prefill.
-TEST(BackendBook, AnEngineOnNewWeightsStandsInForAHomeThatHasOlderOnes)
+TEST(BackendTracker, AnEngineOnNewWeightsStandsInForAHomeThatHasOlderOnes)
 {
-    BackendBook one(hereCentre, {}, 1);
-    BackendBook two(hereCentre, {}, 2);
+    BackendTracker one(hereCentre, {}, 1);
+    BackendTracker two(hereCentre, {}, 2);
     auto entries = fleet(120);
     for (std::size_t i = 0; i < entries.size(); i += 3) {
         entries[i].weights[llmModel] = 2;
     }
-    for (BackendBook *book : {&one, &two}) {
-        book->setBackends(entries);
-        book->weightsNamed({llmModel, {2, at(0), at(0)}}, DateGrounds::Read, at(0));
+    for (BackendTracker *tracker : {&one, &two}) {
+        tracker->setBackends(entries);
+        tracker->weightsNamed({llmModel, {2, at(0), at(0)}}, DateGrounds::Read, at(0));
     }
     for (int part = 0; part < 100; ++part) {
         const auto first = one.choose(longPrompt(part), at(5000));
@@ -150,15 +150,15 @@
 
 // A third of all requests have the same shared part within a second. Guards against queueing all of
 // them at the preferred engine while other engines are idle.
-TEST(BackendBook, AHotPartSpreadsWhenWaitingCostsMoreThanReading)
+TEST(BackendTracker, AHotPartSpreadsWhenWaitingCostsMoreThanReading)
 {
-    BackendBook book(hereCentre, {});
-    book.setBackends(fleet(18));
+    BackendTracker tracker(hereCentre, {});
+    tracker.setBackends(fleet(18));
     std::map<EngineId, int> perEngine;
     for (int i = 0; i < 120; ++i) {
-        const auto choice = book.choose(longPrompt(7), at(i));
+        const auto choice = tracker.choose(longPrompt(7), at(i));
         ASSERT_TRUE(choice);
-        book.sent(*choice, longPrompt(7), at(i));
+        tracker.sent(*choice, longPrompt(7), at(i));
         ++perEngine[choice->backend.id];
     }
     EXPECT_GT(perEngine.size(), 2U);
@@ -169,19 +169,19 @@
 
 // Short requests share engines with prompts of seventeen thousand tokens. Guards against a short
 // request waiting half a second behind a few of them while another engine is idle.
-TEST(BackendBook, AShortRequestAvoidsAnEngineWhereLongPromptsWait)
+TEST(BackendTracker, AShortRequestAvoidsAnEngineWhereLongPromptsWait)
 {
-    BackendBook book(hereCentre, {});
-    book.setBackends(fleet(6));
-    const auto home = book.choose(shortPrompt(3), at(0));
+    BackendTracker tracker(hereCentre, {});
+    tracker.setBackends(fleet(6));
+    const auto home = tracker.choose(shortPrompt(3), at(0));
     ASSERT_TRUE(home);
     for (int i = 0; i < 4; ++i) {
-        book.sent(*home, longPrompt(1), at(i));
+        tracker.sent(*home, longPrompt(1), at(i));
     }
     BackendChoice reading = *home;
     reading.reading = Millis(150);
-    book.sent(reading, longPrompt(1), at(4));
-    const auto next = book.choose(shortPrompt(3), at(5));
+    tracker.sent(reading, longPrompt(1), at(4));
+    const auto next = tracker.choose(shortPrompt(3), at(5));
     ASSERT_TRUE(next);
     EXPECT_NE(next->backend.id, home->backend.id);
 }
@@ -189,133 +189,134 @@
 // Long prompts of low urgency wait for two seconds at the engine that has an urgent request's
 // prompt cached. The urgent request overtakes them there; at another engine its prompt would be
 // prefilled again.
-TEST(BackendBook, WhatIsLessUrgentIsNotWaitedFor)
+TEST(BackendTracker, WhatIsLessUrgentIsNotWaitedFor)
 {
-    BackendBook book(hereCentre, {});
-    book.setBackends(fleet(6));
+    BackendTracker tracker(hereCentre, {});
+    tracker.setBackends(fleet(6));
     BackendQuery check = longPrompt(3);
     check.urgency = 1;
-    const auto home = book.choose(check, at(0));
+    const auto home = tracker.choose(check, at(0));
     ASSERT_TRUE(home);
     BackendChoice waiting = *home;
     waiting.urgency = 4;
     waiting.reading = Millis(2000);
-    book.sent(waiting, longPrompt(1), at(0));
-    const auto urgent = book.choose(check, at(1));
+    tracker.sent(waiting, longPrompt(1), at(0));
+    const auto urgent = tracker.choose(check, at(1));
     ASSERT_TRUE(urgent);
     EXPECT_EQ(urgent->backend.id, home->backend.id);
     EXPECT_LT(urgent->waits, Millis(10));
     check.urgency = 4;
-    EXPECT_NE(book.choose(check, at(1))->backend.id, home->backend.id);
+    EXPECT_NE(tracker.choose(check, at(1))->backend.id, home->backend.id);
 }
 
 // Many prompts have a common beginning and differ in a few tokens. Guards against giving each a
 // preferred engine of its own, so that every engine would prefill the common beginning.
-TEST(BackendBook, PartsThatBeginAlikeHaveOneHome)
+TEST(BackendTracker, PartsThatBeginAlikeHaveOneHome)
 {
-    BackendBook book(hereCentre, {});
-    book.setBackends(fleet(18));
+    BackendTracker tracker(hereCentre, {});
+    tracker.setBackends(fleet(18));
     BackendQuery query = longPrompt(0);
     query.homePart = "beginning";
-    const auto first = book.choose(query, at(0));
+    const auto first = tracker.choose(query, at(0));
     ASSERT_TRUE(first);
     for (int part = 1; part < 20; ++part) {
         query.sharedPart = "part" + std::to_string(part);
-        EXPECT_EQ(book.choose(query, at(0))->backend.id, first->backend.id);
+        EXPECT_EQ(tracker.choose(query, at(0))->backend.id, first->backend.id);
     }
 }
 
 // An engine's host stops answering while connections stay open. Guards against sending requests
 // there, which would end at their deadlines.
-TEST(BackendBook, AnEngineThatGoesSilentIsAvoided)
+TEST(BackendTracker, AnEngineThatGoesSilentIsAvoided)
 {
-    BackendBook book(hereCentre, {});
-    book.setBackends(fleet(3));
-    const auto home = book.choose(longPrompt(1), at(0));
+    BackendTracker tracker(hereCentre, {});
+    tracker.setBackends(fleet(3));
+    const auto home = tracker.choose(longPrompt(1), at(0));
     ASSERT_TRUE(home);
-    book.sent(*home, longPrompt(1), at(0));
-    const auto later = book.choose(longPrompt(1), at(600));
+    tracker.sent(*home, longPrompt(1), at(0));
+    const auto later = tracker.choose(longPrompt(1), at(600));
     ASSERT_TRUE(later);
     EXPECT_NE(later->backend.id, home->backend.id);
-    book.began(*home, at(700));
-    EXPECT_EQ(book.choose(longPrompt(1), at(710))->backend.id, home->backend.id);
+    tracker.began(*home, at(700));
+    EXPECT_EQ(tracker.choose(longPrompt(1), at(710))->backend.id, home->backend.id);
 }
 
 // An engine passes its health check and fails every second request at once. Guards against it
 // drawing more and more requests because it looks idle.
-TEST(BackendBook, AnEngineThatFailsRequestsIsAvoidedForAWhile)
+TEST(BackendTracker, AnEngineThatFailsRequestsIsAvoidedForAWhile)
 {
-    BackendBook book(hereCentre, {});
-    book.setBackends(fleet(3));
+    BackendTracker tracker(hereCentre, {});
+    tracker.setBackends(fleet(3));
     BackendQuery plain;
     plain.service = llmService;
-    const auto first = book.choose(plain, at(0));
+    const auto first = tracker.choose(plain, at(0));
     ASSERT_TRUE(first);
     for (int i = 0; i < 4; ++i) {
-        book.sent(*first, plain, at(i));
-        book.began(*first, at(i));
-        book.ended(*first, true, true, at(i));
+        tracker.sent(*first, plain, at(i));
+        tracker.began(*first, at(i));
+        tracker.ended(*first, true, true, at(i));
     }
-    EXPECT_NE(book.choose(plain, at(10))->backend.id, first->backend.id);
+    EXPECT_NE(tracker.choose(plain, at(10))->backend.id, first->backend.id);
 }
 
 // Newer weights are announced while earlier ones are still being loaded. Each announcement has its
 // own period; counted from the last one, an engine two versions behind would stay available.
-TEST(BackendBook, EachNamedVersionClosesOlderEnginesInItsOwnTime)
+TEST(BackendTracker, EachNamedVersionClosesOlderEnginesInItsOwnTime)
 {
-    BackendBook book(hereCentre, {});
+    BackendTracker tracker(hereCentre, {});
     auto entries = fleet(2, 1);
     entries[1].weights[llmModel] = 2;
-    book.setBackends(entries);
-    book.weightsNamed({llmModel, {2, at(0), at(0)}}, DateGrounds::Read, at(0));
-    book.weightsNamed({llmModel, {3, at(8000), at(8000)}}, DateGrounds::Read, at(8000));
+    tracker.setBackends(entries);
+    tracker.weightsNamed({llmModel, {2, at(0), at(0)}}, DateGrounds::Read, at(0));
+    tracker.weightsNamed({llmModel, {3, at(8000), at(8000)}}, DateGrounds::Read, at(8000));
     for (int part = 0; part < 20; ++part) {
-        const auto choice = book.choose(longPrompt(part), at(13'500));
+        const auto choice = tracker.choose(longPrompt(part), at(13'500));
         ASSERT_TRUE(choice);
         EXPECT_EQ(choice->weights, 2U);
     }
-    EXPECT_FALSE(book.choose(longPrompt(1), at(21'500))) << "both versions are past their periods";
+    EXPECT_FALSE(tracker.choose(longPrompt(1), at(21'500)))
+            << "both versions are past their periods";
 }
 
-TEST(BackendBook, ANodeThatLearnsThatWeightsAreOlderClosesSooner)
+TEST(BackendTracker, ANodeThatLearnsThatWeightsAreOlderClosesSooner)
 {
-    BackendBook book(hereCentre, {});
-    book.setBackends(fleet(1, 1));
-    book.weightsNamed({llmModel, {2, at(0), at(0)}}, DateGrounds::Read, at(0));
-    EXPECT_TRUE(book.choose(longPrompt(1), at(5000)));
-    book.weightsNamed({llmModel, {2, at(-9000), at(-9000)}}, DateGrounds::Told, at(5000));
-    EXPECT_FALSE(book.choose(longPrompt(1), at(5000)));
+    BackendTracker tracker(hereCentre, {});
+    tracker.setBackends(fleet(1, 1));
+    tracker.weightsNamed({llmModel, {2, at(0), at(0)}}, DateGrounds::Read, at(0));
+    EXPECT_TRUE(tracker.choose(longPrompt(1), at(5000)));
+    tracker.weightsNamed({llmModel, {2, at(-9000), at(-9000)}}, DateGrounds::Told, at(5000));
+    EXPECT_FALSE(tracker.choose(longPrompt(1), at(5000)));
 }
 
-TEST(BackendBook, TellsWhenAClosedServerOpensAgain)
+TEST(BackendTracker, TellsWhenAClosedServerOpensAgain)
 {
-    BackendBook book(hereCentre, {});
-    book.setBackends(fleet(1));
-    book.close(EngineId("e0"), at(0));
-    const auto none = book.choose(shortPrompt(1), at(10));
+    BackendTracker tracker(hereCentre, {});
+    tracker.setBackends(fleet(1));
+    tracker.close(EngineId("e0"), at(0));
+    const auto none = tracker.choose(shortPrompt(1), at(10));
     ASSERT_FALSE(none);
     EXPECT_TRUE(none.error().isKnown);
     EXPECT_EQ(none.error().retryAt, at(250));
-    EXPECT_TRUE(book.choose(shortPrompt(1), at(250)));
+    EXPECT_TRUE(tracker.choose(shortPrompt(1), at(250)));
     BackendQuery unknown;
     unknown.service = ServiceId("other");
-    EXPECT_FALSE(book.choose(unknown, at(0)).error().isKnown);
+    EXPECT_FALSE(tracker.choose(unknown, at(0)).error().isKnown);
 }
 
 // An engine loaded new weights, and a refusal reaches this node before the updated entry does.
-TEST(BackendBook, ARefusedVersionMeansThatTheNewestIsThere)
+TEST(BackendTracker, ARefusedVersionMeansThatTheNewestIsThere)
 {
-    BackendBook book(hereCentre, {});
-    book.setBackends(fleet(1, 1));
-    book.weightsNamed({llmModel, {2, at(0), at(0)}}, DateGrounds::Read, at(0));
-    book.doubtWeights(EngineId("e0"), llmModel, at(10));
-    EXPECT_EQ(book.choose(shortPrompt(1), at(20))->weights, 2U);
+    BackendTracker tracker(hereCentre, {});
+    tracker.setBackends(fleet(1, 1));
+    tracker.weightsNamed({llmModel, {2, at(0), at(0)}}, DateGrounds::Read, at(0));
+    tracker.doubtWeights(EngineId("e0"), llmModel, at(10));
+    EXPECT_EQ(tracker.choose(shortPrompt(1), at(20))->weights, 2U);
 }
 
-BackendLoadNews newsOf(const BackendBook &book, const EngineId &id, TimePoint now)
+BackendLoadNews newsOf(const BackendTracker &tracker, const EngineId &id, TimePoint now)
 {
-    for (const BackendLoadNews &each : book.ownLoad(100, now)) {
-        if (book.hashOf(id) == each.backend) {
+    for (const BackendLoadNews &each : tracker.ownLoad(100, now)) {
+        if (tracker.hashOf(id) == each.backend) {
             return each;
         }
     }
@@ -324,10 +325,10 @@
 
 // Six nodes each send a sixth of the long prompts. Guards against all of them selecting an engine
 // that is busy with requests of the others.
-TEST(BackendBook, WhatOtherNodesHaveWaitingCountsAsOwn)
+TEST(BackendTracker, WhatOtherNodesHaveWaitingCountsAsOwn)
 {
-    BackendBook here(hereCentre, {});
-    BackendBook there(hereCentre, {});
+    BackendTracker here(hereCentre, {});
+    BackendTracker there(hereCentre, {});
     here.setBackends(fleet(6));
     there.setBackends(fleet(6));
     const auto home = there.choose(longPrompt(1), at(0));
@@ -341,28 +342,28 @@
     EXPECT_EQ(here.choose(longPrompt(1), at(4))->backend.id, home->backend.id);
 }
 
-TEST(BackendBook, TheLoadOfANodeThatFellSilentIsForgotten)
+TEST(BackendTracker, TheLoadOfANodeThatFellSilentIsForgotten)
 {
-    BackendBook book(hereCentre, {});
-    book.setBackends(fleet(1));
+    BackendTracker tracker(hereCentre, {});
+    tracker.setBackends(fleet(1));
     WaitingWork waiting;
     waiting.add(5, Millis(500));
-    book.heardLoad(7, {{book.hashOf(EngineId("e0")), waiting, 9, {}, 0}}, at(0));
-    EXPECT_GT(book.choose(shortPrompt(1), at(1))->cost, Millis(500));
-    book.forgetSilentPeers(at(2500));
-    EXPECT_LT(book.choose(shortPrompt(1), at(2501))->cost, Millis(50));
+    tracker.heardLoad(7, {{tracker.hashOf(EngineId("e0")), waiting, 9, {}, 0}}, at(0));
+    EXPECT_GT(tracker.choose(shortPrompt(1), at(1))->cost, Millis(500));
+    tracker.forgetSilentPeers(at(2500));
+    EXPECT_LT(tracker.choose(shortPrompt(1), at(2501))->cost, Millis(50));
 }
 
 // Guards against a feedback loop among 72 nodes: if each forwarded the received end of a load,
 // every hop would move it by the hop's delay, and the engine would stay excluded.
-TEST(BackendBook, ALoadThatNodesOnlyHeardOfIsNotPassedOn)
+TEST(BackendTracker, ALoadThatNodesOnlyHeardOfIsNotPassedOn)
 {
     const EngineId engine("e0");
-    BackendBook orderer(hereCentre, {});
-    std::vector<BackendBook> others(6, BackendBook(hereCentre, {}));
+    BackendTracker orderer(hereCentre, {});
+    std::vector<BackendTracker> others(6, BackendTracker(hereCentre, {}));
     orderer.setBackends(fleet(1));
     orderer.loading(engine, at(2000));
-    for (BackendBook &each : others) {
+    for (BackendTracker &each : others) {
         each.setBackends(fleet(1));
         each.heardLoad(100, orderer.ownLoad(10, at(0)), at(5));
     }
@@ -375,7 +376,7 @@
             }
         }
     }
-    for (const BackendBook &each : others) {
+    for (const BackendTracker &each : others) {
         EXPECT_TRUE(each.choose(shortPrompt(1), at(2500)));
     }
 }
@@ -383,10 +384,10 @@
 // The node that ordered a load has no request at the engine when the load ends. Guards against it
 // reporting only servers at which it has some: others would send requests for the old weights until
 // they are refused.
-TEST(BackendBook, NewWeightsAreToldThoughTheNodeHasNoRequestThere)
+TEST(BackendTracker, NewWeightsAreToldThoughTheNodeHasNoRequestThere)
 {
-    BackendBook orderer(hereCentre, {});
-    BackendBook other(hereCentre, {});
+    BackendTracker orderer(hereCentre, {});
+    BackendTracker other(hereCentre, {});
     orderer.setBackends(fleet(1, 1));
     other.setBackends(fleet(1, 1));
     orderer.loaded(EngineId("e0"), llmModel, 2, at(0));
@@ -396,25 +397,25 @@
 }
 
 // A load ends earlier than announced: the engine is available as soon as the update arrives.
-TEST(BackendBook, AnEngineIsOpenAgainWhenItsNewWeightsAreHeardOf)
+TEST(BackendTracker, AnEngineIsOpenAgainWhenItsNewWeightsAreHeardOf)
 {
-    BackendBook book(hereCentre, {});
-    book.setBackends(fleet(1));
-    const std::uint64_t engine = BackendBook::hashOf(EngineId("e0"));
-    book.heardLoad(7, {{engine, {}, 0, milliseconds(2000), 1}}, at(0));
-    EXPECT_FALSE(book.choose(shortPrompt(1), at(1000)));
-    book.heardLoad(7, {{engine, {}, 0, {}, 2}}, at(1001));
-    const auto choice = book.choose(shortPrompt(1), at(1002));
+    BackendTracker tracker(hereCentre, {});
+    tracker.setBackends(fleet(1));
+    const std::uint64_t engine = BackendTracker::hashOf(EngineId("e0"));
+    tracker.heardLoad(7, {{engine, {}, 0, milliseconds(2000), 1}}, at(0));
+    EXPECT_FALSE(tracker.choose(shortPrompt(1), at(1000)));
+    tracker.heardLoad(7, {{engine, {}, 0, {}, 2}}, at(1001));
+    const auto choice = tracker.choose(shortPrompt(1), at(1002));
     ASSERT_TRUE(choice);
     EXPECT_EQ(choice->weights, 2U);
 }
 
 // Each of many nodes sends a part too rarely to know where it is cached. Guards against a prefill
 // by the next engine when the preferred one is unavailable, although a third one has the part.
-TEST(BackendBook, APartIsFetchedFromWhereAnotherNodeSentIt)
+TEST(BackendTracker, APartIsFetchedFromWhereAnotherNodeSentIt)
 {
-    BackendBook here(hereCentre, {});
-    BackendBook there(hereCentre, {});
+    BackendTracker here(hereCentre, {});
+    BackendTracker there(hereCentre, {});
     here.setBackends(fleet(30));
     there.setBackends(fleet(30));
     const auto home = there.choose(longPrompt(1), at(0));
@@ -434,25 +435,25 @@
 
 // Guards against concentrating prompts that share fifty tokens with a fifth of all others on one
 // engine, for a part that every engine prefills in half a millisecond.
-TEST(BackendBook, APartThatIsCheapToReadHasNoHome)
+TEST(BackendTracker, APartThatIsCheapToReadHasNoHome)
 {
-    BackendBook book(hereCentre, {});
-    book.setBackends(fleet(18));
+    BackendTracker tracker(hereCentre, {});
+    tracker.setBackends(fleet(18));
     std::map<EngineId, int> perEngine;
     for (int i = 0; i < 36; ++i) {
-        const auto choice = book.choose(shortPrompt(1), at(i));
+        const auto choice = tracker.choose(shortPrompt(1), at(i));
         ASSERT_TRUE(choice);
-        book.sent(*choice, shortPrompt(1), at(i));
+        tracker.sent(*choice, shortPrompt(1), at(i));
         ++perEngine[choice->backend.id];
     }
     EXPECT_EQ(perEngine.size(), 18U);
 }
 
 // The node that ordered a load reports it to the others before the engine has refused anything.
-TEST(BackendBook, AnEngineThatAnotherNodeOrderedIsLeftOutUntilItHasLoaded)
+TEST(BackendTracker, AnEngineThatAnotherNodeOrderedIsLeftOutUntilItHasLoaded)
 {
-    BackendBook here(hereCentre, {});
-    BackendBook orderer(hereCentre, {});
+    BackendTracker here(hereCentre, {});
+    BackendTracker orderer(hereCentre, {});
     here.setBackends(fleet(1));
     orderer.setBackends(fleet(1));
     orderer.loading(EngineId("e0"), at(2000));
@@ -483,12 +484,12 @@
     for (int part = 0; part < 269; ++part) {
         kept.changed(store, cacheSalt(llmModel, 1, {}), longPrompt(part).sharedPart, 13'300);
     }
-    std::vector<BackendBook> nodes;
+    std::vector<BackendTracker> nodes;
     for (int i = 0; i < Nodes; ++i) {
         nodes.emplace_back(hereCentre, rates);
         nodes.back().setBackends(fleet(18));
     }
-    BackendBook idle(hereCentre, rates);
+    BackendTracker idle(hereCentre, rates);
     idle.setBackends(fleet(18));
     Random random(3);
     std::vector<Running> running;
@@ -526,7 +527,7 @@
 // preferred engines. Engines would hold copies of everything and evict each other's parts until all
 // are prefilled again. Under an even load most requests of a part have to stay at its preferred
 // engine.
-TEST(BackendBook, AnEvenLoadStaysAtItsHomesThoughLoadsAreShared)
+TEST(BackendTracker, AnEvenLoadStaysAtItsHomesThoughLoadsAreShared)
 {
     BackendRates free;
     free.copyReads = 0;
--- a/src/vanilladyke/traffic/exchange.cpp
+++ b/src/vanilladyke/traffic/exchange.cpp
@@ -402,7 +402,7 @@
         co_return;
     }
     const WorkDigest name = *digest();
-    const EngineEnd engineEnd{BackendBook::hashOf(engine), now, hadJustBegun};
+    const EngineEnd engineEnd{BackendTracker::hashOf(engine), now, hadJustBegun};
     m_state.metrics.count("engine_ends_under_requests_total");
     if (m_state.quarantine.ended(name, customerHash(), engineEnd)) {
         withdrawHeld(m_state, name);
@@ -573,7 +573,7 @@
     const TimePoint now = MonotonicClock::now();
     const EngineId &id = choice.backend.id;
     if (head.status != 421) { // another engine at the same address says that
-        m_state.quarantine.engineLives(BackendBook::hashOf(id), now);
+        m_state.quarantine.engineLives(BackendTracker::hashOf(id), now);
     }
     if (head.load) {
         m_state.book.reported(id, head.load->running, head.load->waiting, now);
