--- a/include/vanilladyke/policy/backend_choice.hpp
+++ b/include/vanilladyke/policy/backend_choice.hpp
@@ -2,8 +2,8 @@
 
 #include "vanilladyke/base/time.hpp"
 #include "vanilladyke/model/routing.hpp"
-#include "vanilladyke/policy/engine_pace.hpp"
 #include "vanilladyke/policy/kept_cache_view.hpp"
+#include "vanilladyke/policy/prefill_throughput.hpp"
 #include "vanilladyke/policy/waiting_work.hpp"
 
 #include <cstdint>
@@ -59,8 +59,8 @@
     bool usesKeptStore = true;
     bool fetchesFromEngines = true;
     bool weighsUrgency = true;
-    bool learnsPace = true;
-    bool learnsSlowness = true;
+    bool learnsThroughput = true;
+    bool learnsSlowdown = true;
     bool countsOthersLoad = true;
     bool believesPlacements = true;
     bool keepsLimits = true;
--- a/include/vanilladyke/policy/backend_tracker.hpp
+++ b/include/vanilladyke/policy/backend_tracker.hpp
@@ -142,7 +142,7 @@
     [[nodiscard]] static std::uint64_t hashOf(const Endpoint &store);
 
     /// @brief Learned prefill throughput of a service's engines.
-    [[nodiscard]] const EnginePace &paceOf(const ServiceId &service) const;
+    [[nodiscard]] const PrefillThroughput &throughputOf(const ServiceId &service) const;
     /// @brief Minimum number of shared tokens for which a preferred engine pays off.
     [[nodiscard]] std::uint64_t leastHomeTokens(const ServiceId &service) const;
     [[nodiscard]] int inFlight(const EngineId &id) const;
@@ -156,12 +156,13 @@
         std::uint64_t hash = 0;
         int inFlight = 0;
         int unanswered = 0;
-        EnginePace *pace = nullptr;     ///< of its service
-        RunLength *runs = nullptr;      ///< of its service
-        RunLength *slotTimes = nullptr; ///< of its service: how long a request occupies a slot
+        PrefillThroughput *throughput = nullptr; ///< of its service
+        RequestDuration *durations = nullptr;    ///< of its service
+        RequestDuration *slotTimes =
+                nullptr; ///< of its service: how long a request occupies a slot
         /// Start times of own running requests, not matched to the ones that end.
         std::deque<TimePoint> begunAt;
-        EngineSlowness slowness;
+        EngineSlowdown slowdown;
         WaitingWork waiting;   ///< predicted prefill time of own requests without a first token
         TimePoint silentSince; ///< start of the current wait without any answer
         int reportedRunning = 0;
@@ -241,7 +242,7 @@
     static void waitsNoMore(State &state, const BackendChoice &choice);
     [[nodiscard]] Millis chargesOf(const State &state, const BackendQuery &query,
                                    const WeightsDates *dates, TimePoint now) const;
-    [[nodiscard]] static Millis readTime(const State &state, double tokens, TimePoint now);
+    [[nodiscard]] static Millis prefillTime(const State &state, double tokens, TimePoint now);
     [[nodiscard]] bool isSilent(const State &state, TimePoint now) const;
     [[nodiscard]] bool mayBegin(const State &state, const BackendQuery &query,
                                 const WeightsDates *dates, TimePoint now) const;
@@ -265,9 +266,9 @@
     DataCentreId m_here;
     BackendRates m_rates;
     std::uint64_t m_self;
-    std::unordered_map<ServiceId, EnginePace> m_paces;
-    std::unordered_map<ServiceId, RunLength> m_runs;
-    std::unordered_map<ServiceId, RunLength> m_slotTimes;
+    std::unordered_map<ServiceId, PrefillThroughput> m_throughputs;
+    std::unordered_map<ServiceId, RequestDuration> m_durations;
+    std::unordered_map<ServiceId, RequestDuration> m_slotTimes;
     std::unordered_map<EngineId, State> m_states;
     /// Servers of each service in this node's own order. Point into m_states.
     std::unordered_map<ServiceId, std::vector<const State *>> m_byService;
--- a/include/vanilladyke/policy/engine_pace.hpp
+++ b/include/vanilladyke/policy/prefill_throughput.hpp
@@ -20,24 +20,24 @@
 /// Only requests that met no other waiting request count; the times of the others are dominated by
 /// the queue. A sample is capped at three times its prediction, so that a request at a failing
 /// engine changes the fit little, while engines that are slow throughout are still learned.
-class EnginePace
+class PrefillThroughput
 {
 public:
     /// Initial value: slow enough that a burst right after the start is spread.
-    static constexpr double FirstTokensPerMs = 60;
-    static constexpr Millis FirstFixed{30};
+    static constexpr double InitialTokensPerMs = 60;
+    static constexpr Millis InitialFixed{30};
     /// Bounds of the learned value.
-    static constexpr double LeastTokensPerMs = 0.5;
-    static constexpr double MostTokensPerMs = 5000;
+    static constexpr double MinTokensPerMs = 0.5;
+    static constexpr double MaxTokensPerMs = 5000;
 
-    EnginePace();
+    PrefillThroughput();
 
     /// @brief Adds a sample: a first token arrived. @param tokens that the engine prefilled
     void observed(double tokens, Millis took);
     /// @brief Predicted time to the first token without a backlog.
-    [[nodiscard]] Millis predict(double tokens) const { return m_fixed + reading(tokens); }
+    [[nodiscard]] Millis predict(double tokens) const { return m_fixed + prefillTime(tokens); }
     /// @brief The part of it that is proportional to the tokens.
-    [[nodiscard]] Millis reading(double tokens) const { return Millis(tokens * m_perToken); }
+    [[nodiscard]] Millis prefillTime(double tokens) const { return Millis(tokens * m_perToken); }
     [[nodiscard]] double tokensPerMs() const { return 1 / m_perToken; }
 
 private:
@@ -49,17 +49,17 @@
     double m_y = 0;
     double m_xx = 0;
     double m_xy = 0;
-    double m_perToken = 1 / FirstTokensPerMs; ///< ms
-    Millis m_fixed = FirstFixed;
+    double m_perToken = 1 / InitialTokensPerMs; ///< ms
+    Millis m_fixed = InitialFixed;
 };
 
 /// @brief Mean time from sending a request of a service until its end. Pure.
-class RunLength
+class RequestDuration
 {
 public:
     /// Bounds of the learned value.
-    static constexpr Millis Least{20};
-    static constexpr Millis Most{5000};
+    static constexpr Millis Min{20};
+    static constexpr Millis Max{5000};
 
     void observed(Millis took);
     [[nodiscard]] Millis mean() const { return m_mean; }
@@ -73,11 +73,11 @@
 /// Load pattern: one of nine engines takes four times as long as the others for some seconds. Its
 /// queue looks no longer than theirs, so that it gets its share of the requests, and all of them
 /// are late.
-class EngineSlowness
+class EngineSlowdown
 {
 public:
-    static constexpr double Least = 0.5;
-    static constexpr double Most = 8;
+    static constexpr double Min = 0.5;
+    static constexpr double Max = 8;
     /// An avoided engine gives no samples; the factor decays so that it is tried again.
     static constexpr Duration HalfLife = std::chrono::seconds(4);
 
--- a/include/vanilladyke/policy/wait_limit.hpp
+++ b/include/vanilladyke/policy/wait_limit.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "vanilladyke/policy/engine_pace.hpp"
+#include "vanilladyke/policy/prefill_throughput.hpp"
 
 #include <optional>
 
--- a/src/vanilladyke/app/mechanism_switches.cpp
+++ b/src/vanilladyke/app/mechanism_switches.cpp
@@ -34,10 +34,10 @@
         rates.weighsUrgency = false;
         break;
     case Mechanism::Pace:
-        rates.learnsPace = false;
+        rates.learnsThroughput = false;
         break;
     case Mechanism::Slowness:
-        rates.learnsSlowness = false;
+        rates.learnsSlowdown = false;
         break;
     case Mechanism::WaitLimit:
         rates.mostWaitTargets = NeverReachedTargets;
--- a/src/vanilladyke/policy/backend_choice.cpp
+++ b/src/vanilladyke/policy/backend_choice.cpp
@@ -56,14 +56,14 @@
         return true;
     }
     const auto tokens = static_cast<double>(query.sharedTokens + query.ownTokens);
-    const Millis waits = waitOf(state, query.urgency, now) + readTime(state, tokens, now);
+    const Millis waits = waitOf(state, query.urgency, now) + prefillTime(state, tokens, now);
     const auto begins = std::chrono::duration_cast<Duration>(m_rates.oldWeightsWaits * waits);
     return now + begins + OldWeightsMargin < *end;
 }
 
-Millis BackendTracker::readTime(const State &state, double tokens, TimePoint now)
+Millis BackendTracker::prefillTime(const State &state, double tokens, TimePoint now)
 {
-    return state.pace->reading(tokens) * state.slowness.factor(now);
+    return state.throughput->prefillTime(tokens) * state.slowdown.factor(now);
 }
 
 bool BackendTracker::isSilent(const State &state, TimePoint now) const
@@ -265,8 +265,8 @@
     const auto shared = static_cast<double>(query.sharedTokens);
     Reading reading;
     reading.tokens = static_cast<double>(query.ownTokens);
-    reading.time = readTime(engine, reading.tokens, now);
-    const Millis sharedTime = readTime(engine, shared, now);
+    reading.time = prefillTime(engine, reading.tokens, now);
+    const Millis sharedTime = prefillTime(engine, shared, now);
     reading.isHeld = m_holders.holds(question, engine.hash, now);
     if (store != nullptr && !isKept && query.kept->state(store->endpoint) != KeptCacheState::Down) {
         reading.saveTo = store->endpoint;
@@ -355,7 +355,7 @@
             reading = readingAt(*engine.state, *home->state, query, store, now);
         } else {
             reading.tokens = static_cast<double>(query.sharedTokens + query.ownTokens);
-            reading.time = readTime(*engine.state, reading.tokens, now);
+            reading.time = prefillTime(*engine.state, reading.tokens, now);
         }
         const Millis cost = engine.cost + reading.time + reading.charge;
         if (chosen == nullptr || cost < best.cost) {
@@ -372,8 +372,8 @@
     best.chosenAt = now;
     best.urgency = query.urgency;
     best.waits = waitOf(*chosen, query.urgency, now);
-    best.first = best.waits + best.reading + chosen->pace->predict(0);
-    best.tokensPerMs = chosen->pace->tokensPerMs() / chosen->slowness.factor(now);
+    best.first = best.waits + best.reading + chosen->throughput->predict(0);
+    best.tokensPerMs = chosen->throughput->tokensPerMs() / chosen->slowdown.factor(now);
     best.isAlone = chosen->unanswered == 0
                    && chosen->peersWaiting.ahead(WaitingWork::Urgencies - 1, now) <= Millis::zero()
                    && (now - chosen->reportedAt > ReportLife || chosen->reportedWaiting == 0);
--- a/src/vanilladyke/policy/backend_tracker.cpp
+++ b/src/vanilladyke/policy/backend_tracker.cpp
@@ -37,8 +37,8 @@
     m_byHash.clear();
     for (auto &[id, state] : m_states) {
         m_byHash.emplace(state.hash, &state);
-        state.pace = &m_paces[state.entry.service];
-        state.runs = &m_runs[state.entry.service];
+        state.throughput = &m_throughputs[state.entry.service];
+        state.durations = &m_durations[state.entry.service];
         state.slotTimes = &m_slotTimes[state.entry.service];
         m_byService[state.entry.service].push_back(&state);
     }
@@ -49,16 +49,16 @@
     }
 }
 
-const EnginePace &BackendTracker::paceOf(const ServiceId &service) const
+const PrefillThroughput &BackendTracker::throughputOf(const ServiceId &service) const
 {
-    static const EnginePace unknown;
-    const auto known = m_paces.find(service);
-    return known == m_paces.end() ? unknown : known->second;
+    static const PrefillThroughput unknown;
+    const auto known = m_throughputs.find(service);
+    return known == m_throughputs.end() ? unknown : known->second;
 }
 
 std::uint64_t BackendTracker::leastHomeTokens(const ServiceId &service) const
 {
-    const double tokens = m_rates.leastHomeReading.count() * paceOf(service).tokensPerMs();
+    const double tokens = m_rates.leastHomeReading.count() * throughputOf(service).tokensPerMs();
     return static_cast<std::uint64_t>(tokens);
 }
 
@@ -109,7 +109,7 @@
 double BackendTracker::peersInFlight(const State &state, TimePoint now)
 {
     const Millis age = std::max(Millis::zero(), Millis(now - state.peersInFlightAt));
-    return state.peersInFlight * std::exp(-(age / state.runs->mean()));
+    return state.peersInFlight * std::exp(-(age / state.durations->mean()));
 }
 
 void BackendTracker::changePeersInFlight(State &state, double by, TimePoint now)
@@ -126,7 +126,8 @@
         if (found != m_byHash.end()) {
             State &state = *found->second;
             state.peersWaiting.takeBack(part.waiting, now);
-            changePeersInFlight(state, -part.inFlight * std::exp(-(age / state.runs->mean())), now);
+            changePeersInFlight(state, -part.inFlight * std::exp(-(age / state.durations->mean())),
+                                now);
         }
     }
 }
@@ -281,11 +282,11 @@
     state.begunAt.push_back(now);
     if (choice.isAlone && choice.readTokens > 0) {
         const Millis took = now - choice.chosenAt;
-        if (m_rates.learnsSlowness) {
-            state.slowness.observed(took / state.pace->predict(choice.readTokens), now);
+        if (m_rates.learnsSlowdown) {
+            state.slowdown.observed(took / state.throughput->predict(choice.readTokens), now);
         }
-        if (m_rates.learnsPace) {
-            state.pace->observed(choice.readTokens, took);
+        if (m_rates.learnsThroughput) {
+            state.throughput->observed(choice.readTokens, took);
         }
     }
 }
@@ -298,7 +299,7 @@
     }
     State &state = *known;
     if (hadBegun) {
-        state.runs->observed(now - choice.chosenAt);
+        state.durations->observed(now - choice.chosenAt);
         slotGivenBack(state, choice, now);
     }
     state.inFlight = std::max(0, state.inFlight - 1);
--- a/src/vanilladyke/policy/backend_tracker_test.cpp
+++ b/src/vanilladyke/policy/backend_tracker_test.cpp
@@ -430,7 +430,7 @@
     EXPECT_EQ(next->fetchFrom, home->backend.endpoint);
     const BackendQuery whole = longPrompt(1);
     const auto tokens = static_cast<double>(whole.sharedTokens + whole.ownTokens);
-    EXPECT_LT(next->reading, 0.33 * there.paceOf(llmService).reading(tokens));
+    EXPECT_LT(next->reading, 0.33 * there.throughputOf(llmService).prefillTime(tokens));
 }
 
 // Guards against concentrating prompts that share fifty tokens with a fifth of all others on one
--- a/src/vanilladyke/policy/engine_pace.cpp
+++ b/src/vanilladyke/policy/prefill_throughput.cpp
@@ -1,4 +1,4 @@
-#include "vanilladyke/policy/engine_pace.hpp"
+#include "vanilladyke/policy/prefill_throughput.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -8,24 +8,24 @@
 namespace {
 
 /// Weight of older samples after each new one: an effective window of some fifty samples.
-constexpr double Keep = 0.98;
+constexpr double ForgettingFactor = 0.98;
 /// The initial values have the weight of two samples at each of two lengths.
 constexpr double PriorWeight = 2;
 constexpr double PriorShort = 500;
 constexpr double PriorLong = 8000;
-constexpr double MostOfPrediction = 3;
-constexpr double SlownessWeight = 0.15;
+constexpr double MaxSampleRatio = 3;
+constexpr double SlowdownWeight = 0.15;
 
 } // namespace
 
-EnginePace::EnginePace()
+PrefillThroughput::PrefillThroughput()
 {
     for (const double tokens : {PriorShort, PriorLong}) {
         add(PriorWeight, tokens, predict(tokens).count());
     }
 }
 
-void EnginePace::add(double weight, double tokens, double millis)
+void PrefillThroughput::add(double weight, double tokens, double millis)
 {
     m_weight += weight;
     m_x += weight * tokens;
@@ -34,43 +34,43 @@
     m_xy += weight * tokens * millis;
 }
 
-void EnginePace::observed(double tokens, Millis took)
+void PrefillThroughput::observed(double tokens, Millis took)
 {
     if (!(tokens >= 0) || !(took.count() > 0)) {
         return;
     }
-    const double millis = std::min(took.count(), MostOfPrediction * predict(tokens).count());
+    const double millis = std::min(took.count(), MaxSampleRatio * predict(tokens).count());
     for (double *sum : {&m_weight, &m_x, &m_y, &m_xx, &m_xy}) {
-        *sum *= Keep;
+        *sum *= ForgettingFactor;
     }
     add(1, tokens, millis);
     fit();
 }
 
-void EnginePace::fit()
+void PrefillThroughput::fit()
 {
     const double spread = m_weight * m_xx - m_x * m_x;
     const bool isLine = spread > 1e-6 * m_weight * m_xx;
     const double mean = m_y / std::max(m_x, 1.0);
     const double slope = isLine ? (m_weight * m_xy - m_x * m_y) / spread : mean;
-    m_perToken = std::clamp(slope, 1 / MostTokensPerMs, 1 / LeastTokensPerMs);
+    m_perToken = std::clamp(slope, 1 / MaxTokensPerMs, 1 / MinTokensPerMs);
     m_fixed = Millis(std::max(0.0, (m_y - m_perToken * m_x) / m_weight));
 }
 
-void RunLength::observed(Millis took)
+void RequestDuration::observed(Millis took)
 {
     constexpr double Weight = 0.05;
-    m_mean += Weight * (std::clamp(took, Least, Most) - m_mean);
+    m_mean += Weight * (std::clamp(took, Min, Max) - m_mean);
 }
 
-void EngineSlowness::observed(double ratio, TimePoint now)
+void EngineSlowdown::observed(double ratio, TimePoint now)
 {
-    const double bounded = std::clamp(ratio, Least, Most);
-    m_log = (1 - SlownessWeight) * std::log(factor(now)) + SlownessWeight * std::log(bounded);
+    const double bounded = std::clamp(ratio, Min, Max);
+    m_log = (1 - SlowdownWeight) * std::log(factor(now)) + SlowdownWeight * std::log(bounded);
     m_at = now;
 }
 
-double EngineSlowness::factor(TimePoint now) const
+double EngineSlowdown::factor(TimePoint now) const
 {
     if (m_log == 0) {
         return 1;
--- a/src/vanilladyke/policy/engine_pace_test.cpp
+++ b/src/vanilladyke/policy/prefill_throughput_test.cpp
@@ -1,4 +1,4 @@
-#include "vanilladyke/policy/engine_pace.hpp"
+#include "vanilladyke/policy/prefill_throughput.hpp"
 
 #include "vanilladyke/base/random.hpp"
 
@@ -40,19 +40,19 @@
 
 // Guards against using the throughput of one deployment for another whose engines are ten times
 // slower, where callers would wait for seconds.
-TEST(EnginePace, DeploymentsThatNobodyToldOfAreLearnedWithinAHundredRequests)
+TEST(PrefillThroughput, DeploymentsThatNobodyToldOfAreLearnedWithinAHundredRequests)
 {
     for (std::uint64_t seed = 1; seed <= 24; ++seed) {
         Deployment deployment(seed);
-        EnginePace pace;
+        PrefillThroughput throughput;
         std::vector<double> errors;
         for (int i = 0; i < 300; ++i) {
             const double tokens = deployment.length();
             const double took = deployment.time(tokens);
             if (i >= 100) {
-                errors.push_back(std::abs(pace.predict(tokens).count() - took) / took);
+                errors.push_back(std::abs(throughput.predict(tokens).count() - took) / took);
             }
-            pace.observed(tokens, Millis(took));
+            throughput.observed(tokens, Millis(took));
         }
         std::nth_element(errors.begin(), errors.begin() + 100, errors.end());
         EXPECT_LT(errors[100], 0.3) << "seed " << seed;
@@ -60,32 +60,32 @@
 }
 
 // Guards against invalid samples: a first token before the request, or after an hour.
-TEST(EnginePace, WhatIsLearnedStaysWithinBounds)
+TEST(PrefillThroughput, WhatIsLearnedStaysWithinBounds)
 {
-    EnginePace pace;
+    PrefillThroughput throughput;
     for (int i = 0; i < 1000; ++i) {
-        pace.observed(i % 7 == 0 ? 0 : 1e9, Millis(i % 3 == 0 ? 3.6e6 : 1e-6));
-        pace.observed(std::nan(""), Millis(1));
-        pace.observed(100, Millis(-5));
+        throughput.observed(i % 7 == 0 ? 0 : 1e9, Millis(i % 3 == 0 ? 3.6e6 : 1e-6));
+        throughput.observed(std::nan(""), Millis(1));
+        throughput.observed(100, Millis(-5));
     }
-    EXPECT_GE(pace.tokensPerMs(), EnginePace::LeastTokensPerMs);
-    EXPECT_LE(pace.tokensPerMs(), EnginePace::MostTokensPerMs);
-    EXPECT_GE(pace.predict(0).count(), 0);
+    EXPECT_GE(throughput.tokensPerMs(), PrefillThroughput::MinTokensPerMs);
+    EXPECT_LE(throughput.tokensPerMs(), PrefillThroughput::MaxTokensPerMs);
+    EXPECT_GE(throughput.predict(0).count(), 0);
 }
 
 // One engine takes four times as long for a few seconds and then recovers.
-TEST(EngineSlowness, IsNoticedWithinADozenRequestsAndForgotten)
+TEST(EngineSlowdown, IsNoticedWithinADozenRequestsAndForgotten)
 {
-    EngineSlowness slowness;
+    EngineSlowdown slowdown;
     const TimePoint start(std::chrono::hours(1));
-    EXPECT_EQ(slowness.factor(start), 1);
+    EXPECT_EQ(slowdown.factor(start), 1);
     for (int i = 0; i < 12; ++i) {
-        slowness.observed(4, start);
+        slowdown.observed(4, start);
     }
-    EXPECT_GT(slowness.factor(start), 3);
-    EXPECT_LT(slowness.factor(start + std::chrono::seconds(12)), 1.25);
-    slowness.observed(1e9, start);
-    EXPECT_LE(slowness.factor(start), EngineSlowness::Most);
+    EXPECT_GT(slowdown.factor(start), 3);
+    EXPECT_LT(slowdown.factor(start + std::chrono::seconds(12)), 1.25);
+    slowdown.observed(1e9, start);
+    EXPECT_LE(slowdown.factor(start), EngineSlowdown::Max);
 }
 
 } // namespace
