--- a/include/vanilladyke/policy/backend_choice.hpp
+++ b/include/vanilladyke/policy/backend_choice.hpp
@@ -3,8 +3,8 @@
 #include "vanilladyke/base/time.hpp"
 #include "vanilladyke/model/routing.hpp"
 #include "vanilladyke/policy/kept_cache_view.hpp"
+#include "vanilladyke/policy/prefill_backlog.hpp"
 #include "vanilladyke/policy/prefill_throughput.hpp"
-#include "vanilladyke/policy/waiting_work.hpp"
 
 #include <cstdint>
 #include <optional>
@@ -128,7 +128,7 @@
 struct BackendLoadNews
 {
     std::uint64_t backend = 0; ///< hash of the server's id
-    WaitingWork waiting;       ///< predicted prefill time of its requests without a first token
+    PrefillBacklog backlog;    ///< predicted prefill time of its requests without a first token
     int inFlight = 0;          ///< requests of the node at the server
     Duration loading{};        ///< remaining time of a load of new weights
     std::uint64_t weights = 0; ///< version recorded by the node; 0: none
--- a/include/vanilladyke/policy/backend_tracker.hpp
+++ b/include/vanilladyke/policy/backend_tracker.hpp
@@ -2,10 +2,10 @@
 
 #include "vanilladyke/base/outcome.hpp"
 #include "vanilladyke/policy/backend_choice.hpp"
-#include "vanilladyke/policy/draining_work.hpp"
 #include "vanilladyke/policy/engine_limit.hpp"
 #include "vanilladyke/policy/fetch_share.hpp"
 #include "vanilladyke/policy/part_holders.hpp"
+#include "vanilladyke/policy/peer_backlog.hpp"
 #include "vanilladyke/policy/route_table.hpp"
 #include "vanilladyke/policy/weights_dates.hpp"
 
@@ -163,13 +163,13 @@
         /// Start times of own running requests, not matched to the ones that end.
         std::deque<TimePoint> begunAt;
         EngineSlowdown slowdown;
-        WaitingWork waiting;   ///< predicted prefill time of own requests without a first token
-        TimePoint silentSince; ///< start of the current wait without any answer
+        PrefillBacklog backlog; ///< predicted prefill time of own requests without a first token
+        TimePoint silentSince;  ///< start of the current wait without any answer
         int reportedRunning = 0;
         int reportedWaiting = 0;
         int ownAtReport = 0;
         TimePoint reportedAt;
-        DrainingWork peersWaiting;
+        PeerBacklog peerBacklog;
         double peersInFlight = 0; ///< at peersInFlightAt; decays as requests end
         TimePoint peersInFlightAt;
         TimePoint loadingUntil;
@@ -186,7 +186,7 @@
     struct PeerPart
     {
         std::uint64_t backend = 0;
-        DrainingWork::Told waiting;
+        PeerBacklog::Report report;
         int inFlight = 0;
     };
     struct Peer
--- a/include/vanilladyke/policy/draining_work.hpp
+++ b/include/vanilladyke/policy/peer_backlog.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "vanilladyke/policy/waiting_work.hpp"
+#include "vanilladyke/policy/prefill_backlog.hpp"
 
 /// Backlog that other nodes reported for an engine, less what the engine has processed since.
 ///
@@ -14,24 +14,24 @@
 /// @brief Reported backlog of one engine. Pure.
 /// One millisecond of it drains per millisecond, the most urgent first; reports of one urgency
 /// drain in proportion.
-class DrainingWork
+class PeerBacklog
 {
 public:
     /// @brief One node's report and its time, by which the remainder of it can be removed.
-    struct Told
+    struct Report
     {
         struct Mark
         {
             double share = 1;
             std::uint32_t emptied = 0;
         };
-        WaitingWork work;
-        std::array<Mark, WaitingWork::Urgencies> marks{};
+        PrefillBacklog work;
+        std::array<Mark, PrefillBacklog::Urgencies> marks{};
     };
 
-    [[nodiscard]] Told add(const WaitingWork &work, TimePoint now);
+    [[nodiscard]] Report add(const PrefillBacklog &work, TimePoint now);
     /// @brief Removes the remainder of a report: the node sent a new one, or is gone.
-    void takeBack(const Told &told, TimePoint now);
+    void remove(const Report &report, TimePoint now);
     /// @brief Backlog ahead of a new request of that urgency.
     [[nodiscard]] Millis ahead(int urgency, TimePoint now) const;
 
@@ -46,7 +46,7 @@
     void drain(TimePoint now);
     static void drain(Level *level, double millis);
 
-    std::array<Level, WaitingWork::Urgencies> m_levels{};
+    std::array<Level, PrefillBacklog::Urgencies> m_levels{};
     TimePoint m_at;
 };
 
--- a/include/vanilladyke/policy/waiting_work.hpp
+++ b/include/vanilladyke/policy/prefill_backlog.hpp
@@ -14,7 +14,7 @@
 /// requests overtake them there. If the whole backlog counted for an urgent request, it would leave
 /// the engine that has its prompt cached because of a wait that it does not have. If only urgent
 /// requests counted for a long prompt, it would queue behind a dozen others.
-class WaitingWork
+class PrefillBacklog
 {
 public:
     static constexpr int Urgencies = 10; ///< 0 is the most urgent
@@ -25,13 +25,13 @@
     {
         at(urgency) = std::max(Millis::zero(), at(urgency) - time);
     }
-    void operator+=(const WaitingWork &other)
+    void operator+=(const PrefillBacklog &other)
     {
         for (int urgency = 0; urgency < Urgencies; ++urgency) {
             add(urgency, other.of(urgency));
         }
     }
-    void operator-=(const WaitingWork &other)
+    void operator-=(const PrefillBacklog &other)
     {
         for (int urgency = 0; urgency < Urgencies; ++urgency) {
             remove(urgency, other.of(urgency));
--- a/src/vanilladyke/node/load_sharing.cpp
+++ b/src/vanilladyke/node/load_sharing.cpp
@@ -189,9 +189,9 @@
     for (const BackendLoadNews &each : m_state.book.ownLoad(MostBackends, now)) {
         wire::BackendLoad *load = message.add_backends();
         load->set_backend(each.backend);
-        const bool isIdle = each.waiting.total() <= Millis::zero();
-        for (int urgency = 0; !isIdle && urgency < WaitingWork::Urgencies; ++urgency) {
-            load->add_waiting_ms(static_cast<std::uint32_t>(each.waiting.of(urgency).count()));
+        const bool isIdle = each.backlog.total() <= Millis::zero();
+        for (int urgency = 0; !isIdle && urgency < PrefillBacklog::Urgencies; ++urgency) {
+            load->add_waiting_ms(static_cast<std::uint32_t>(each.backlog.of(urgency).count()));
         }
         load->set_in_flight(static_cast<std::uint32_t>(each.inFlight));
         load->set_loading_ms(millis(each.loading));
@@ -276,7 +276,7 @@
     std::vector<BackendLoadNews> news;
     news.reserve(static_cast<std::size_t>(message.backends_size()));
     for (const wire::BackendLoad &load : message.backends()) {
-        WaitingWork waiting;
+        PrefillBacklog waiting;
         for (int urgency = 0; urgency < load.waiting_ms_size(); ++urgency) {
             waiting.add(urgency, Millis(load.waiting_ms(urgency)));
         }
--- a/src/vanilladyke/policy/backend_choice.cpp
+++ b/src/vanilladyke/policy/backend_choice.cpp
@@ -88,8 +88,8 @@
     // The slots of a full server become free one after the other.
     const Millis perSlot = state.slotTimes->mean() / std::max(state.entry.slots, 1);
     const double slotsUsed = static_cast<double>(busy) / std::max(state.entry.slots, 1);
-    const int most = m_rates.weighsUrgency ? urgency : WaitingWork::Urgencies - 1;
-    return state.waiting.ahead(most) + state.peersWaiting.ahead(most, now) + busy * m_rates.step
+    const int most = m_rates.weighsUrgency ? urgency : PrefillBacklog::Urgencies - 1;
+    return state.backlog.ahead(most) + state.peerBacklog.ahead(most, now) + busy * m_rates.step
            + over * perSlot + slotsUsed * PlainCall;
 }
 
@@ -374,9 +374,10 @@
     best.waits = waitOf(*chosen, query.urgency, now);
     best.first = best.waits + best.reading + chosen->throughput->predict(0);
     best.tokensPerMs = chosen->throughput->tokensPerMs() / chosen->slowdown.factor(now);
-    best.isAlone = chosen->unanswered == 0
-                   && chosen->peersWaiting.ahead(WaitingWork::Urgencies - 1, now) <= Millis::zero()
-                   && (now - chosen->reportedAt > ReportLife || chosen->reportedWaiting == 0);
+    best.isAlone =
+            chosen->unanswered == 0
+            && chosen->peerBacklog.ahead(PrefillBacklog::Urgencies - 1, now) <= Millis::zero()
+            && (now - chosen->reportedAt > ReportLife || chosen->reportedWaiting == 0);
     best.part = hasHome ? query.partKey() : 0;
     best.sharedTokens = query.sharedTokens;
     best.backend = chosen->entry;
--- a/src/vanilladyke/policy/backend_tracker.cpp
+++ b/src/vanilladyke/policy/backend_tracker.cpp
@@ -95,12 +95,12 @@
         const bool hasOneModel = weights.size() == 1;
         const Duration loads = std::max<Duration>(state.orderedUntil - now, Duration::zero());
         if (state.inFlight > 0 || loads > Duration::zero() || now < state.tellUntil) {
-            news.push_back({state.hash, state.waiting, state.inFlight, loads,
+            news.push_back({state.hash, state.backlog, state.inFlight, loads,
                             hasOneModel ? weights.begin()->second : 0});
         }
     }
     std::sort(news.begin(), news.end(), [](const BackendLoadNews &a, const BackendLoadNews &b) {
-        return a.waiting.total() > b.waiting.total();
+        return a.backlog.total() > b.backlog.total();
     });
     news.resize(std::min(news.size(), most));
     return news;
@@ -125,7 +125,7 @@
         const auto found = m_byHash.find(part.backend);
         if (found != m_byHash.end()) {
             State &state = *found->second;
-            state.peersWaiting.takeBack(part.waiting, now);
+            state.peerBacklog.remove(part.report, now);
             changePeersInFlight(state, -part.inFlight * std::exp(-(age / state.durations->mean())),
                                 now);
         }
@@ -148,7 +148,7 @@
         if (m_rates.countsOthersLoad) {
             changePeersInFlight(state, each.inFlight, now);
             peer.parts.push_back(
-                    {each.backend, state.peersWaiting.add(each.waiting, now), each.inFlight});
+                    {each.backend, state.peerBacklog.add(each.backlog, now), each.inFlight});
         }
         std::uint64_t before = each.weights;
         if (state.entry.weights.size() == 1 && each.weights > 0) {
@@ -241,7 +241,7 @@
     if (state.unanswered++ == 0) {
         state.silentSince = now;
     }
-    state.waiting.add(choice.urgency, choice.reading);
+    state.backlog.add(choice.urgency, choice.reading);
     if (!query.hasHome()) {
         return;
     }
@@ -264,9 +264,9 @@
 void BackendTracker::waitsNoMore(State &state, const BackendChoice &choice)
 {
     state.unanswered = std::max(0, state.unanswered - 1);
-    state.waiting.remove(choice.urgency, choice.reading);
+    state.backlog.remove(choice.urgency, choice.reading);
     if (state.unanswered == 0) {
-        state.waiting = {};
+        state.backlog = {};
     }
 }
 
--- a/src/vanilladyke/policy/backend_tracker_test.cpp
+++ b/src/vanilladyke/policy/backend_tracker_test.cpp
@@ -346,7 +346,7 @@
 {
     BackendTracker tracker(hereCentre, {});
     tracker.setBackends(fleet(1));
-    WaitingWork waiting;
+    PrefillBacklog waiting;
     waiting.add(5, Millis(500));
     tracker.heardLoad(7, {{tracker.hashOf(EngineId("e0")), waiting, 9, {}, 0}}, at(0));
     EXPECT_GT(tracker.choose(shortPrompt(1), at(1))->cost, Millis(500));
--- a/src/vanilladyke/policy/draining_work.cpp
+++ b/src/vanilladyke/policy/peer_backlog.cpp
@@ -1,45 +1,45 @@
-#include "vanilladyke/policy/draining_work.hpp"
+#include "vanilladyke/policy/peer_backlog.hpp"
 
 namespace vanilladyke {
 
 namespace {
 
 /// A smaller remainder counts as empty, which keeps the shares far from the limits of a double.
-constexpr double LeastShare = 1e-6;
+constexpr double MinShare = 1e-6;
 
 } // namespace
 
-DrainingWork::Told DrainingWork::add(const WaitingWork &work, TimePoint now)
+PeerBacklog::Report PeerBacklog::add(const PrefillBacklog &work, TimePoint now)
 {
     drain(now);
-    Told told{work, {}};
-    for (int urgency = 0; urgency < WaitingWork::Urgencies; ++urgency) {
+    Report report{work, {}};
+    for (int urgency = 0; urgency < PrefillBacklog::Urgencies; ++urgency) {
         const auto index = static_cast<std::size_t>(urgency);
         Level &level = m_levels.at(index);
         level.left += work.of(urgency).count();
-        told.marks.at(index) = {level.share, level.emptied};
+        report.marks.at(index) = {level.share, level.emptied};
     }
-    return told;
+    return report;
 }
 
-void DrainingWork::takeBack(const Told &told, TimePoint now)
+void PeerBacklog::remove(const Report &report, TimePoint now)
 {
     drain(now);
-    for (int urgency = 0; urgency < WaitingWork::Urgencies; ++urgency) {
+    for (int urgency = 0; urgency < PrefillBacklog::Urgencies; ++urgency) {
         const auto index = static_cast<std::size_t>(urgency);
         Level &level = m_levels.at(index);
-        const Told::Mark &mark = told.marks.at(index);
+        const Report::Mark &mark = report.marks.at(index);
         if (mark.emptied == level.emptied) {
-            const double left = told.work.of(urgency).count() * level.share / mark.share;
+            const double left = report.work.of(urgency).count() * level.share / mark.share;
             level.left = std::max(0.0, level.left - left);
         }
     }
 }
 
-Millis DrainingWork::ahead(int urgency, TimePoint now) const
+Millis PeerBacklog::ahead(int urgency, TimePoint now) const
 {
     double sum = 0;
-    const int last = std::clamp(urgency, 0, WaitingWork::Urgencies - 1);
+    const int last = std::clamp(urgency, 0, PrefillBacklog::Urgencies - 1);
     for (int each = 0; each <= last; ++each) {
         sum += m_levels.at(static_cast<std::size_t>(each)).left;
     }
@@ -47,7 +47,7 @@
     return std::max(Millis::zero(), Millis(sum) - std::max(Millis::zero(), passed));
 }
 
-void DrainingWork::drain(TimePoint now)
+void PeerBacklog::drain(TimePoint now)
 {
     double millis = Millis(now - m_at).count();
     if (millis <= 0) {
@@ -61,7 +61,7 @@
     }
 }
 
-void DrainingWork::drain(Level *level, double millis)
+void PeerBacklog::drain(Level *level, double millis)
 {
     if (level->left <= 0) {
         return;
@@ -69,7 +69,7 @@
     const double left = level->left - millis;
     level->share *= left / level->left;
     level->left = left;
-    if (left <= 0 || level->share < LeastShare) {
+    if (left <= 0 || level->share < MinShare) {
         level->share = 1;
         ++level->emptied;
     }
--- a/src/vanilladyke/policy/draining_work_test.cpp
+++ b/src/vanilladyke/policy/peer_backlog_test.cpp
@@ -1,4 +1,4 @@
-#include "vanilladyke/policy/draining_work.hpp"
+#include "vanilladyke/policy/peer_backlog.hpp"
 
 #include <gtest/gtest.h>
 
@@ -12,26 +12,26 @@
     return TimePoint(std::chrono::hours(1) + milliseconds(millis));
 }
 
-WaitingWork work(int urgency, double millis)
+PrefillBacklog work(int urgency, double millis)
 {
-    WaitingWork result;
+    PrefillBacklog result;
     result.add(urgency, Millis(millis));
     return result;
 }
 
 // A node reports a prompt of 150 ms and sends no further update. Guards against refusing callers a
 // second later, when the engine has long been idle.
-TEST(DrainingWork, WhatWasToldIsReadAsTimePasses)
+TEST(PeerBacklog, WhatWasToldIsReadAsTimePasses)
 {
-    DrainingWork engine;
+    PeerBacklog engine;
     static_cast<void>(engine.add(work(4, 150), at(0)));
     EXPECT_EQ(engine.ahead(4, at(50)), Millis(100));
     EXPECT_EQ(engine.ahead(4, at(1000)), Millis(0));
 }
 
-TEST(DrainingWork, TheMostUrgentIsReadFirstAndTheLessUrgentIsNotAhead)
+TEST(PeerBacklog, TheMostUrgentIsReadFirstAndTheLessUrgentIsNotAhead)
 {
-    DrainingWork engine;
+    PeerBacklog engine;
     static_cast<void>(engine.add(work(1, 40), at(0)));
     static_cast<void>(engine.add(work(4, 100), at(0)));
     EXPECT_EQ(engine.ahead(1, at(30)), Millis(10));
@@ -41,21 +41,21 @@
 
 // A node sends a new report. Guards against subtracting its previous one from the reports of other
 // nodes, whose queues would then look empty.
-TEST(DrainingWork, TakingBackLeavesWhatOthersTold)
+TEST(PeerBacklog, TakingBackLeavesWhatOthersTold)
 {
-    DrainingWork engine;
+    PeerBacklog engine;
     const auto first = engine.add(work(4, 100), at(0));
     static_cast<void>(engine.add(work(4, 300), at(0)));
-    engine.takeBack(first, at(200)); // half of both has drained
+    engine.remove(first, at(200)); // half of both has drained
     EXPECT_NEAR(engine.ahead(4, at(200)).count(), 150, 1e-6);
 }
 
-TEST(DrainingWork, WhatWasReadIsNotTakenBackFromWhatCameLater)
+TEST(PeerBacklog, WhatWasReadIsNotTakenBackFromWhatCameLater)
 {
-    DrainingWork engine;
+    PeerBacklog engine;
     const auto old = engine.add(work(4, 100), at(0));
     static_cast<void>(engine.add(work(4, 70), at(500)));
-    engine.takeBack(old, at(500));
+    engine.remove(old, at(500));
     EXPECT_NEAR(engine.ahead(4, at(500)).count(), 70, 1e-6);
 }
 
--- a/src/vanilladyke/traffic/exchange.cpp
+++ b/src/vanilladyke/traffic/exchange.cpp
@@ -233,7 +233,7 @@
         rank = *m_customer->priority;
     }
     const bool isLong = m_request.promptTokens > LongPromptTokens;
-    return std::clamp(1 + 2 * rank + (isLong ? 1 : 0), 0, WaitingWork::Urgencies - 1);
+    return std::clamp(1 + 2 * rank + (isLong ? 1 : 0), 0, PrefillBacklog::Urgencies - 1);
 }
 
 std::optional<TimePoint> Exchange::comesTooLate(const BackendChoice &choice, TimePoint now) const
