--- a/include/vanilladyke/node/control_plane.hpp
+++ b/include/vanilladyke/node/control_plane.hpp
@@ -14,7 +14,7 @@
     std::string self; ///< of the machine; names the holder of the lease
     LeaseTerms lease;
     RolloutTerms rollout;
-    SecondSendTerms secondSends; ///< the number of nodes is filled in as it becomes known
+    FleetRetryLimits secondSends; ///< the number of nodes is filled in as it becomes known
 };
 
 /// @brief When the configuration was last proved to be the newest; shared by both threads.
--- a/include/vanilladyke/policy/second_send_budget.hpp
+++ b/include/vanilladyke/policy/fleet_retry_budget.hpp
@@ -17,7 +17,7 @@
 namespace vanilladyke {
 
 /// @brief Limits set by the platform.
-struct SecondSendTerms
+struct FleetRetryLimits
 {
     double ratio = 0.2; ///< retries per request within the window
     double extra = 0;   ///< for all nodes together
@@ -26,7 +26,7 @@
 };
 
 /// @brief Retry budget of one node for all services. Pure.
-class SecondSendBudget
+class FleetRetryBudget
 {
 public:
     static constexpr int Slices = 20;
@@ -34,9 +34,9 @@
     /// checked later.
     static constexpr double Margin = 0.8;
 
-    void setTerms(const SecondSendTerms &terms) { m_terms = terms; }
+    void setTerms(const FleetRetryLimits &limits) { m_limits = limits; }
     /// @brief Sets the number of nodes among which the extra is divided.
-    void setNodes(std::size_t nodes) { m_terms.nodes = nodes; }
+    void setNodes(std::size_t nodes) { m_limits.nodes = nodes; }
     void countRequest(const ServiceId &service, TimePoint now);
     /// @brief Takes one retry from the budget if the window allows it.
     [[nodiscard]] bool spend(const ServiceId &service, TimePoint now);
@@ -51,7 +51,7 @@
 
     Slice &current(std::deque<Slice> &slices, TimePoint now) const;
 
-    SecondSendTerms m_terms;
+    FleetRetryLimits m_limits;
     std::unordered_map<ServiceId, std::deque<Slice>> m_services;
 };
 
--- a/include/vanilladyke/traffic/traffic_state.hpp
+++ b/include/vanilladyke/traffic/traffic_state.hpp
@@ -4,10 +4,10 @@
 #include "vanilladyke/base/random.hpp"
 #include "vanilladyke/model/work_digest.hpp"
 #include "vanilladyke/policy/backend_tracker.hpp"
+#include "vanilladyke/policy/fleet_retry_budget.hpp"
 #include "vanilladyke/policy/kept_cache_view.hpp"
 #include "vanilladyke/policy/request_quarantine.hpp"
 #include "vanilladyke/policy/route_table.hpp"
-#include "vanilladyke/policy/second_send_budget.hpp"
 #include "vanilladyke/traffic/backend_pool.hpp"
 #include "vanilladyke/traffic/dialect.hpp"
 #include "vanilladyke/traffic/engine_ends.hpp"
@@ -74,7 +74,7 @@
     TrafficSettings settings;
     BackendTracker book;
     KeptCacheView kept;
-    SecondSendBudget budget;
+    FleetRetryBudget budget;
     WorkDigester digester;
     RequestQuarantine quarantine;
     Random random;
--- a/src/vanilladyke/app/node_settings.cpp
+++ b/src/vanilladyke/app/node_settings.cpp
@@ -13,7 +13,7 @@
 constexpr Duration KeyMargin = std::chrono::milliseconds(300);
 constexpr std::uint64_t MostSecondSends = 1'000'000;
 
-void readSecondSends(JsonReader &reader, SecondSendTerms *terms)
+void readSecondSends(JsonReader &reader, FleetRetryLimits *terms)
 {
     reader.allowOnly({"ratio", "extra", "window_ms"});
     reader.number("ratio", &terms->ratio, 0, 1);
--- a/src/vanilladyke/node/control_plane.cpp
+++ b/src/vanilladyke/node/control_plane.cpp
@@ -194,7 +194,7 @@
 
 void ControlPlane::nodesListed(std::vector<Endpoint> peers)
 {
-    SecondSendTerms terms = m_settings.secondSends;
+    FleetRetryLimits terms = m_settings.secondSends;
     terms.nodes = std::max<std::size_t>(peers.size(), 1);
     tell([terms, peers = std::move(peers)](TrafficState &traffic) {
         traffic.nodes = terms.nodes;
--- a/src/vanilladyke/policy/second_send_budget.cpp
+++ b/src/vanilladyke/policy/fleet_retry_budget.cpp
@@ -1,13 +1,13 @@
-#include "vanilladyke/policy/second_send_budget.hpp"
+#include "vanilladyke/policy/fleet_retry_budget.hpp"
 
 #include <algorithm>
 
 namespace vanilladyke {
 
-SecondSendBudget::Slice &SecondSendBudget::current(std::deque<Slice> &slices, TimePoint now) const
+FleetRetryBudget::Slice &FleetRetryBudget::current(std::deque<Slice> &slices, TimePoint now) const
 {
     const Duration width =
-            std::max<Duration>(m_terms.window / Slices, std::chrono::milliseconds(1));
+            std::max<Duration>(m_limits.window / Slices, std::chrono::milliseconds(1));
     const std::int64_t number = now.time_since_epoch() / width;
     while (!slices.empty() && slices.front().number < number - Slices) {
         slices.pop_front();
@@ -18,12 +18,12 @@
     return slices.back();
 }
 
-void SecondSendBudget::countRequest(const ServiceId &service, TimePoint now)
+void FleetRetryBudget::countRequest(const ServiceId &service, TimePoint now)
 {
     ++current(m_services[service], now).requests;
 }
 
-bool SecondSendBudget::spend(const ServiceId &service, TimePoint now)
+bool FleetRetryBudget::spend(const ServiceId &service, TimePoint now)
 {
     std::deque<Slice> &slices = m_services[service];
     Slice &slice = current(slices, now);
@@ -35,8 +35,8 @@
         spent += each.spent;
     }
     const double extra =
-            m_terms.extra / static_cast<double>(std::max<std::size_t>(m_terms.nodes, 1));
-    if (spent + 1 > Margin * (m_terms.ratio * requests + extra)) {
+            m_limits.extra / static_cast<double>(std::max<std::size_t>(m_limits.nodes, 1));
+    if (spent + 1 > Margin * (m_limits.ratio * requests + extra)) {
         return false;
     }
     ++slice.spent;
--- a/src/vanilladyke/policy/second_send_budget_test.cpp
+++ b/src/vanilladyke/policy/fleet_retry_budget_test.cpp
@@ -1,4 +1,4 @@
-#include "vanilladyke/policy/second_send_budget.hpp"
+#include "vanilladyke/policy/fleet_retry_budget.hpp"
 
 #include "vanilladyke/base/random.hpp"
 
@@ -21,16 +21,16 @@
 
 // All servers of a service refuse, and every node retries as often as its budget allows. Guards
 // against doubling the load of a service that is already overloaded.
-TEST(SecondSendBudget, NodesTogetherStayBelowTheBoundInEveryWindow)
+TEST(FleetRetryBudget, NodesTogetherStayBelowTheBoundInEveryWindow)
 {
     constexpr int Nodes = 6;
-    const SecondSendTerms terms{0.2, 52, std::chrono::seconds(10), Nodes};
-    std::vector<SecondSendBudget> nodes(Nodes);
+    const FleetRetryLimits limits{0.2, 52, std::chrono::seconds(10), Nodes};
+    std::vector<FleetRetryBudget> nodes(Nodes);
     Random random(7);
     std::vector<int> requests;
-    std::vector<int> seconds;
+    std::vector<int> retries;
     for (auto &node : nodes) {
-        node.setTerms(terms);
+        node.setTerms(limits);
     }
     for (int ms = 0; ms < 60'000; ++ms) {
         const bool isBurst = ms > 20'000 && ms < 23'000;
@@ -40,23 +40,23 @@
             nodes[i].countRequest(theService, at(ms));
             requests.push_back(ms);
             while (nodes[i].spend(theService, at(ms))) {
-                seconds.push_back(ms);
+                retries.push_back(ms);
             }
         }
     }
-    EXPECT_GT(seconds.size(), 100U);
+    EXPECT_GT(retries.size(), 100U);
     for (int from = 0; from + 10'000 <= 60'000; from += 250) {
         const auto count = [from](const std::vector<int> &times) {
             return std::count_if(times.begin(), times.end(),
                                  [from](int ms) { return ms >= from && ms < from + 10'000; });
         };
-        EXPECT_LE(count(seconds), 0.2 * count(requests) + 52) << "window from " << from;
+        EXPECT_LE(count(retries), 0.2 * count(requests) + 52) << "window from " << from;
     }
 }
 
-TEST(SecondSendBudget, AQuietServiceMayUseTheExtra)
+TEST(FleetRetryBudget, AQuietServiceMayUseTheExtra)
 {
-    SecondSendBudget budget;
+    FleetRetryBudget budget;
     budget.setTerms({0.2, 30, std::chrono::seconds(10), 3});
     budget.countRequest(theService, at(0));
     int spent = 0;
