--- a/include/vanilladyke/policy/backend_choice.hpp
+++ b/include/vanilladyke/policy/backend_choice.hpp
@@ -125,7 +125,7 @@
 };
 
 /// @brief Load update: the load of one node at one backend server, sent to other nodes.
-struct BackendLoadNews
+struct BackendLoadUpdate
 {
     std::uint64_t backend = 0; ///< hash of the server's id
     PrefillBacklog backlog;    ///< predicted prefill time of its requests without a first token
@@ -135,7 +135,7 @@
 };
 
 /// @brief Placement update: one node sent a request with an expensive shared part to a server.
-struct PlacementNews
+struct PlacementUpdate
 {
     std::uint64_t part = 0;    ///< BackendQuery::partKey
     std::uint64_t backend = 0; ///< hash of the server's id
--- a/include/vanilladyke/policy/backend_tracker.hpp
+++ b/include/vanilladyke/policy/backend_tracker.hpp
@@ -71,9 +71,9 @@
     static constexpr Duration OldWeightsMargin = std::chrono::milliseconds(1500);
     static constexpr std::size_t WholeUpTo =
             24; ///< up to this many servers of a service, all are evaluated
-    static constexpr std::size_t MostPlacementsTold = 400;
+    static constexpr std::size_t MaxPendingPlacements = 400;
     /// How long a node reports weights that it loaded; repeated because datagrams may be lost.
-    static constexpr Duration TellWeightsFor = std::chrono::seconds(3);
+    static constexpr Duration ReportWeightsFor = std::chrono::seconds(3);
 
     /// @param self seed of this node's order of servers, distinct for each node
     BackendTracker(DataCentreId here, BackendRates rates, std::uint64_t self = 0);
@@ -117,12 +117,12 @@
     void loaded(const EngineId &id, const ModelId &model, std::uint64_t version, TimePoint now);
 
     /// @brief Load updates to send, the servers with the longest backlog first.
-    [[nodiscard]] std::vector<BackendLoadNews> ownLoad(std::size_t most, TimePoint now) const;
+    [[nodiscard]] std::vector<BackendLoadUpdate> ownLoad(std::size_t most, TimePoint now) const;
     /// @brief Updates to send on servers with a rate limit.
-    [[nodiscard]] std::vector<LimitNews> ownLimits(TimePoint now) const;
+    [[nodiscard]] std::vector<LimitUpdate> ownLimits(TimePoint now) const;
     /// @return servers whose limit changed
-    std::vector<EngineId> heardLimits(std::uint64_t node, const std::vector<LimitNews> &news,
-                                      TimePoint now);
+    std::vector<EngineId> receivedLimits(std::uint64_t node,
+                                         const std::vector<LimitUpdate> &updates, TimePoint now);
     /// @brief Rate limit of a server for all nodes together.
     [[nodiscard]] std::optional<double> limitOf(const EngineId &id) const;
     /// @brief Whether the server's limit still has capacity; other requests may have used it since
@@ -130,13 +130,14 @@
     [[nodiscard]] bool hasRoom(const EngineId &id, TimePoint now) const;
     [[nodiscard]] std::size_t limitedEngines() const;
     /// @brief Placement updates since the last call.
-    [[nodiscard]] std::vector<PlacementNews> takePlacements();
+    [[nodiscard]] std::vector<PlacementUpdate> takePlacements();
     [[nodiscard]] bool hasPlacements() const { return !m_placements.empty(); }
     /// @brief Applies the load update of another node, which replaces its previous one.
-    void heardLoad(std::uint64_t node, const std::vector<BackendLoadNews> &news, TimePoint now);
-    void heardPlacements(const std::vector<PlacementNews> &news, TimePoint now);
+    void receivedLoad(std::uint64_t node, const std::vector<BackendLoadUpdate> &updates,
+                      TimePoint now);
+    void receivedPlacements(const std::vector<PlacementUpdate> &updates, TimePoint now);
     /// @brief Drops the load of nodes that have sent no update for PeerLife.
-    void forgetSilentPeers(TimePoint now);
+    void dropExpiredPeers(TimePoint now);
     /// @brief Hash that identifies the server in updates between nodes.
     [[nodiscard]] static std::uint64_t hashOf(const EngineId &id);
     [[nodiscard]] static std::uint64_t hashOf(const Endpoint &store);
@@ -175,7 +176,7 @@
         TimePoint loadingUntil;
         /// End of a load that this node ordered; only such loads are sent to other nodes.
         TimePoint orderedUntil;
-        TimePoint tellUntil; ///< end of reporting the weights that this node loaded
+        TimePoint reportUntil; ///< end of reporting the weights that this node loaded
         double failurePart = 0;
         TimePoint failureAt;
         TimePoint closedUntil;
@@ -191,7 +192,7 @@
     };
     struct Peer
     {
-        TimePoint heardAt;
+        TimePoint lastSeenAt;
         std::vector<PeerPart> parts;
     };
     /// When a server that is unavailable for requests now may be available; none if it is
@@ -254,7 +255,7 @@
     [[nodiscard]] const State *holderBeside(const State &engine,
                                             const PartHolders::Question &question,
                                             const BackendQuery &query, TimePoint now) const;
-    void apply(const PlacementNews &news, TimePoint now);
+    void apply(const PlacementUpdate &update, TimePoint now);
     [[nodiscard]] State *find(const EngineId &id);
     static void learnWeights(State &state, const ModelId &model, std::uint64_t version);
     [[nodiscard]] static std::uint64_t weightsOf(const State &state, const ModelId &model);
@@ -277,7 +278,7 @@
     std::unordered_map<std::uint64_t, Peer> m_peers;
     PartHolders m_holders;
     FetchShare m_fetches;
-    std::vector<PlacementNews> m_placements; ///< not sent yet
+    std::vector<PlacementUpdate> m_placements; ///< not sent yet
 };
 
 } // namespace vanilladyke
--- a/include/vanilladyke/policy/engine_limit.hpp
+++ b/include/vanilladyke/policy/engine_limit.hpp
@@ -27,7 +27,7 @@
 namespace vanilladyke {
 
 /// @brief Limit update: what one node sends to others about an engine's limit.
-struct LimitNews
+struct LimitUpdate
 {
     std::uint64_t backend = 0;       ///< hash of the engine's id
     bool isObserved = false;         ///< an answer to this node carried the following values
@@ -42,18 +42,18 @@
 public:
     /// An engine with a limit of zero still gets a request now and then, because only an answer
     /// shows the end of the limit.
-    static constexpr double LeastPerSecond = 0.25;
+    static constexpr double MinPerSecond = 0.25;
     /// A change to "no limit" has to be this much newer than the answer with the limit: answers may
     /// be read out of order.
     static constexpr Duration LiftMargin = std::chrono::milliseconds(250);
     /// How long a node reports the end of a limit.
-    static constexpr Duration TellLiftFor = std::chrono::seconds(5);
+    static constexpr Duration ReportLiftFor = std::chrono::seconds(5);
 
     /// @brief Records the limit that an answer to this node carried, or none.
     /// @return whether the limit changed
     bool observed(std::optional<double> perSecond, TimePoint now);
     /// @brief Applies the update of another node. @return whether the limit changed
-    bool heard(std::uint64_t node, const LimitNews &news, TimePoint now);
+    bool received(std::uint64_t node, const LimitUpdate &update, TimePoint now);
     /// @brief Records that this node sent a request to the engine.
     void sent(TimePoint now);
 
@@ -64,18 +64,18 @@
     /// @brief Used fraction of the bucket's capacity, in [0, 1].
     [[nodiscard]] double scarcity(TimePoint now) const;
     /// @brief When the next request may be sent.
-    [[nodiscard]] TimePoint opensAt(TimePoint now) const;
+    [[nodiscard]] TimePoint nextAllowedAt(TimePoint now) const;
     /// @brief The update to send. @return none if there is nothing to report
-    [[nodiscard]] std::optional<LimitNews> toTell(TimePoint now) const;
+    [[nodiscard]] std::optional<LimitUpdate> pendingUpdate(TimePoint now) const;
 
 private:
-    /// Capacity of the bucket in requests: the larger of LeastBurst and BurstSeconds at the limit.
-    static constexpr double LeastBurst = 2;
+    /// Capacity of the bucket in requests: the larger of MinBurst and BurstSeconds at the limit.
+    static constexpr double MinBurst = 2;
     static constexpr double BurstSeconds = 0.5;
     /// Bounds the time in which a debt is refilled, so that a wrong count cannot exclude an engine
     /// for long.
-    static constexpr double MostDebtSeconds = 2;
-    static constexpr double MostCompetitors = 64;
+    static constexpr double MaxDebtSeconds = 2;
+    static constexpr double MaxCompetitors = 64;
 
     struct Observation
     {
@@ -87,7 +87,7 @@
     [[nodiscard]] double burst() const;
     [[nodiscard]] double levelAt(TimePoint now) const;
     [[nodiscard]] double competitorsAt(TimePoint now) const;
-    bool believe(const Observation &observation, TimePoint now);
+    bool applyObservation(const Observation &observation, TimePoint now);
     void take(double count, TimePoint now);
 
     std::optional<double> m_perSecond;
--- a/src/vanilladyke/node/load_sharing.cpp
+++ b/src/vanilladyke/node/load_sharing.cpp
@@ -70,7 +70,7 @@
     }
 }
 
-void write(const LimitNews &news, wire::BackendLimit *limit)
+void write(const LimitUpdate &news, wire::BackendLimit *limit)
 {
     limit->set_backend(news.backend);
     limit->set_is_observed(news.isObserved);
@@ -80,9 +80,9 @@
     limit->set_sent(news.sent);
 }
 
-LimitNews read(const wire::BackendLimit &limit)
+LimitUpdate read(const wire::BackendLimit &limit)
 {
-    LimitNews news;
+    LimitUpdate news;
     news.backend = limit.backend();
     news.isObserved = limit.is_observed();
     if (limit.is_named()) {
@@ -160,7 +160,7 @@
     }
     const std::size_t stretch = std::max<std::size_t>(1, (peers + 1) / NodesAtFullRate);
     m_nextAt = now + Interval * stretch;
-    m_state.book.forgetSilentPeers(now);
+    m_state.book.dropExpiredPeers(now);
     forgetSilent(now);
     tell(now);
 }
@@ -186,7 +186,7 @@
             write(each, now, message.add_named_weights());
         }
     }
-    for (const BackendLoadNews &each : m_state.book.ownLoad(MostBackends, now)) {
+    for (const BackendLoadUpdate &each : m_state.book.ownLoad(MostBackends, now)) {
         wire::BackendLoad *load = message.add_backends();
         load->set_backend(each.backend);
         const bool isIdle = each.backlog.total() <= Millis::zero();
@@ -197,7 +197,7 @@
         load->set_loading_ms(millis(each.loading));
         load->set_weights(each.weights);
     }
-    for (const PlacementNews &each : m_state.book.takePlacements()) {
+    for (const PlacementUpdate &each : m_state.book.takePlacements()) {
         wire::Placement *placement = message.add_placements();
         placement->set_part(each.part);
         placement->set_backend(each.backend);
@@ -211,9 +211,9 @@
          m_state.quarantine.toTell(m_routes.size() + 1, MostQuarantined, now, m_state.random)) {
         write(each, message.add_quarantined());
     }
-    std::vector<LimitNews> limits = m_state.book.ownLimits(now);
+    std::vector<LimitUpdate> limits = m_state.book.ownLimits(now);
     limits.resize(std::min(limits.size(), MostLimits));
-    for (const LimitNews &each : limits) {
+    for (const LimitUpdate &each : limits) {
         write(each, message.add_limits());
     }
     const auto recipients = m_routes.recipients(m_state.random, now);
@@ -273,7 +273,7 @@
     for (const wire::NamedWeights &each : message.named_weights()) {
         m_state.dateWeights(read(each, now), DateGrounds::Told, "peer");
     }
-    std::vector<BackendLoadNews> news;
+    std::vector<BackendLoadUpdate> news;
     news.reserve(static_cast<std::size_t>(message.backends_size()));
     for (const wire::BackendLoad &load : message.backends()) {
         PrefillBacklog waiting;
@@ -283,8 +283,8 @@
         news.push_back({load.backend(), waiting, static_cast<int>(load.in_flight()),
                         std::chrono::milliseconds(load.loading_ms()), load.weights()});
     }
-    m_state.book.heardLoad(message.node(), news, now);
-    std::vector<PlacementNews> placements;
+    m_state.book.receivedLoad(message.node(), news, now);
+    std::vector<PlacementUpdate> placements;
     placements.reserve(static_cast<std::size_t>(message.placements_size()));
     for (const wire::Placement &each : message.placements()) {
         placements.push_back({each.part(), each.backend(), each.weights(), each.saved(),
@@ -293,7 +293,7 @@
             m_state.kept.toldSaved(each.saved(), now);
         }
     }
-    m_state.book.heardPlacements(placements, now);
+    m_state.book.receivedPlacements(placements, now);
     if (message.limits_size() > 0) {
         takeLimits(message, now);
     }
@@ -304,12 +304,12 @@
 
 void LoadSharing::takeLimits(const wire::NodeLoad &message, TimePoint now)
 {
-    std::vector<LimitNews> news;
+    std::vector<LimitUpdate> news;
     news.reserve(static_cast<std::size_t>(message.limits_size()));
     for (const wire::BackendLimit &each : message.limits()) {
         news.push_back(read(each));
     }
-    for (const EngineId &changed : m_state.book.heardLimits(message.node(), news, now)) {
+    for (const EngineId &changed : m_state.book.receivedLimits(message.node(), news, now)) {
         const std::optional<double> limit = m_state.book.limitOf(changed);
         LogEvent("engine_limit")
                 .field("backend", changed.str())
--- a/src/vanilladyke/policy/backend_choice.cpp
+++ b/src/vanilladyke/policy/backend_choice.cpp
@@ -168,7 +168,7 @@
     if (!m_rates.keepsLimits || state.limit.allows(drawFor(state.hash, now), now)) {
         return std::nullopt;
     }
-    return state.limit.opensAt(now);
+    return state.limit.nextAllowedAt(now);
 }
 
 BackendTracker::Weighed BackendTracker::weigh(const BackendQuery &query, const WeightsDates *dates,
--- a/src/vanilladyke/policy/backend_fleet_test.cpp
+++ b/src/vanilladyke/policy/backend_fleet_test.cpp
@@ -26,8 +26,8 @@
     double longPerMs = 0.235;
     double shortPerMs = 0.797;
     int parts = 4000;
-    int tellEvery = 640;   ///< ms between two load updates of a node
-    int leastBetween = 80; ///< ms, minimum between two updates with placements
+    int updateInterval = 640; ///< ms between two load updates of a node
+    int minUpdateGap = 80;    ///< ms, minimum between two updates with placements
     int runMs = 20'000;
     int stores = 3;
     bool refuses = false; ///< requests with a long predicted wait are refused
@@ -148,7 +148,7 @@
             }
             m_kept.back().setStores(stores);
         }
-        m_toldAt.resize(m_nodes.size());
+        m_updatedAt.resize(m_nodes.size());
         m_stores.resize(static_cast<std::size_t>(load.stores), TrialLink(660));
         m_inStore.resize(static_cast<std::size_t>(load.stores));
     }
@@ -157,7 +157,7 @@
     {
         for (int ms = 0; ms < m_load.runMs; ++ms) {
             finish(ms);
-            tell(ms);
+            sendUpdates(ms);
             for (int i = arrivals(m_load.longPerMs); i > 0; --i) {
                 send(ms, true);
             }
@@ -219,22 +219,22 @@
         }
     }
 
-    void tell(int ms)
+    void sendUpdates(int ms)
     {
         for (std::size_t from = 0; from < m_nodes.size(); ++from) {
             const bool isUrgent =
-                    m_nodes[from].hasPlacements() && ms - m_toldAt[from] >= m_load.leastBetween;
-            if ((ms + static_cast<int>(from) * 17) % m_load.tellEvery != 0 && !isUrgent) {
+                    m_nodes[from].hasPlacements() && ms - m_updatedAt[from] >= m_load.minUpdateGap;
+            if ((ms + static_cast<int>(from) * 17) % m_load.updateInterval != 0 && !isUrgent) {
                 continue;
             }
-            m_toldAt[from] = ms;
-            const auto news = m_nodes[from].ownLoad(1000, at(ms));
+            m_updatedAt[from] = ms;
+            const auto updates = m_nodes[from].ownLoad(1000, at(ms));
             const auto placements = m_nodes[from].takePlacements();
             for (std::size_t to = 0; to < m_nodes.size(); ++to) {
                 if (to != from) {
-                    m_nodes[to].heardLoad(from, news, at(ms));
-                    m_nodes[to].heardPlacements(placements, at(ms));
-                    for (const PlacementNews &each : placements) {
+                    m_nodes[to].receivedLoad(from, updates, at(ms));
+                    m_nodes[to].receivedPlacements(placements, at(ms));
+                    for (const PlacementUpdate &each : placements) {
                         if (each.saved != 0) {
                             m_kept[to].toldSaved(each.saved, at(ms));
                         }
@@ -345,7 +345,7 @@
     Random m_random;
     std::vector<BackendTracker> m_nodes;
     std::vector<KeptCacheView> m_kept; ///< of each node
-    std::vector<int> m_toldAt;         ///< ms, of each node
+    std::vector<int> m_updatedAt;      ///< ms, of each node
     std::vector<TrialLink> m_stores;
     std::vector<std::set<int>> m_inStore;
     int m_ownPart = 0; ///< parts that no other request shares have descending negative numbers
@@ -379,7 +379,7 @@
 {
     const Result now = play(scaled(1.5));
     Load late = scaled(1.5);
-    late.leastBetween = late.runMs;
+    late.minUpdateGap = late.runMs;
     const Result before = play(late);
     RecordProperty("short_p99_ms", static_cast<int>(now.shortP99));
     RecordProperty("long_p99_ms", static_cast<int>(now.longP99));
@@ -422,8 +422,8 @@
     load.longPerMs = 0.182 * factor;
     load.shortPerMs = 0.547 * factor;
     load.parts = 1734;
-    load.tellEvery = 2640;
-    load.leastBetween = 330;
+    load.updateInterval = 2640;
+    load.minUpdateGap = 330;
     load.runMs = 6'000;
     load.stores = 6;
     load.refuses = true;
--- a/src/vanilladyke/policy/backend_slots_test.cpp
+++ b/src/vanilladyke/policy/backend_slots_test.cpp
@@ -117,7 +117,7 @@
                 m_events.pop();
                 happen(event, ms);
             }
-            tell(ms);
+            sendUpdates(ms);
             for (int i = std::poisson_distribution<int>(RequestsPerMs)(m_random); i > 0; --i) {
                 ask(ms);
             }
@@ -137,23 +137,23 @@
         bool operator>(const Event &other) const { return at > other.at; }
     };
 
-    void tell(int ms)
+    void sendUpdates(int ms)
     {
-        constexpr int TellEvery = 200;
-        constexpr int TellPlacementsEvery = 80;
+        constexpr int UpdateInterval = 200;
+        constexpr int PlacementInterval = 80;
         constexpr int NodeOffset = 17;
         for (std::size_t from = 0; from < m_nodes.size(); ++from) {
             const int own = ms + static_cast<int>(from) * NodeOffset;
-            const bool isUrgent = m_nodes[from].hasPlacements() && own % TellPlacementsEvery == 0;
-            if (own % TellEvery != 0 && !isUrgent) {
+            const bool isUrgent = m_nodes[from].hasPlacements() && own % PlacementInterval == 0;
+            if (own % UpdateInterval != 0 && !isUrgent) {
                 continue;
             }
-            const auto news = m_nodes[from].ownLoad(Engines, at(ms));
+            const auto updates = m_nodes[from].ownLoad(Engines, at(ms));
             const auto placements = m_nodes[from].takePlacements();
             for (std::size_t to = 0; to < m_nodes.size(); ++to) {
                 if (to != from) {
-                    m_nodes[to].heardLoad(from, news, at(ms));
-                    m_nodes[to].heardPlacements(placements, at(ms));
+                    m_nodes[to].receivedLoad(from, updates, at(ms));
+                    m_nodes[to].receivedPlacements(placements, at(ms));
                 }
             }
         }
--- a/src/vanilladyke/policy/backend_tracker.cpp
+++ b/src/vanilladyke/policy/backend_tracker.cpp
@@ -83,27 +83,28 @@
         learnWeights(*state, model, version);
         state->loadingUntil = now;
         state->orderedUntil = now;
-        state->tellUntil = now + TellWeightsFor;
+        state->reportUntil = now + ReportWeightsFor;
     }
 }
 
-std::vector<BackendLoadNews> BackendTracker::ownLoad(std::size_t most, TimePoint now) const
+std::vector<BackendLoadUpdate> BackendTracker::ownLoad(std::size_t most, TimePoint now) const
 {
-    std::vector<BackendLoadNews> news;
+    std::vector<BackendLoadUpdate> updates;
     for (const auto &[id, state] : m_states) {
         const auto &weights = state.entry.weights;
         const bool hasOneModel = weights.size() == 1;
         const Duration loads = std::max<Duration>(state.orderedUntil - now, Duration::zero());
-        if (state.inFlight > 0 || loads > Duration::zero() || now < state.tellUntil) {
-            news.push_back({state.hash, state.backlog, state.inFlight, loads,
-                            hasOneModel ? weights.begin()->second : 0});
+        if (state.inFlight > 0 || loads > Duration::zero() || now < state.reportUntil) {
+            updates.push_back({state.hash, state.backlog, state.inFlight, loads,
+                               hasOneModel ? weights.begin()->second : 0});
         }
     }
-    std::sort(news.begin(), news.end(), [](const BackendLoadNews &a, const BackendLoadNews &b) {
-        return a.backlog.total() > b.backlog.total();
-    });
-    news.resize(std::min(news.size(), most));
-    return news;
+    std::sort(updates.begin(), updates.end(),
+              [](const BackendLoadUpdate &a, const BackendLoadUpdate &b) {
+                  return a.backlog.total() > b.backlog.total();
+              });
+    updates.resize(std::min(updates.size(), most));
+    return updates;
 }
 
 double BackendTracker::peersInFlight(const State &state, TimePoint now)
@@ -120,7 +121,7 @@
 
 void BackendTracker::subtract(const Peer &peer, TimePoint now)
 {
-    const Millis age = now - peer.heardAt;
+    const Millis age = now - peer.lastSeenAt;
     for (const PeerPart &part : peer.parts) {
         const auto found = m_byHash.find(part.backend);
         if (found != m_byHash.end()) {
@@ -132,14 +133,14 @@
     }
 }
 
-void BackendTracker::heardLoad(std::uint64_t node, const std::vector<BackendLoadNews> &news,
-                               TimePoint now)
+void BackendTracker::receivedLoad(std::uint64_t node, const std::vector<BackendLoadUpdate> &updates,
+                                  TimePoint now)
 {
     Peer &peer = m_peers[node];
     subtract(peer, now);
-    peer.heardAt = now;
+    peer.lastSeenAt = now;
     peer.parts.clear();
-    for (const BackendLoadNews &each : news) {
+    for (const BackendLoadUpdate &each : updates) {
         const auto known = m_byHash.find(each.backend);
         if (known == m_byHash.end()) {
             continue;
@@ -161,33 +162,33 @@
     }
 }
 
-void BackendTracker::apply(const PlacementNews &news, TimePoint now)
+void BackendTracker::apply(const PlacementUpdate &update, TimePoint now)
 {
-    m_holders.used({news.part, news.backend, news.weights, news.written}, now);
-    if (news.store != 0) {
-        m_fetches.wanted(news.store, static_cast<double>(news.wanted), now);
+    m_holders.used({update.part, update.backend, update.weights, update.written}, now);
+    if (update.store != 0) {
+        m_fetches.wanted(update.store, static_cast<double>(update.wanted), now);
     }
 }
 
-std::vector<PlacementNews> BackendTracker::takePlacements()
+std::vector<PlacementUpdate> BackendTracker::takePlacements()
 {
     return std::exchange(m_placements, {});
 }
 
-void BackendTracker::heardPlacements(const std::vector<PlacementNews> &news, TimePoint now)
+void BackendTracker::receivedPlacements(const std::vector<PlacementUpdate> &updates, TimePoint now)
 {
     if (!m_rates.believesPlacements) {
         return;
     }
-    for (const PlacementNews &each : news) {
+    for (const PlacementUpdate &each : updates) {
         apply(each, now);
     }
 }
 
-void BackendTracker::forgetSilentPeers(TimePoint now)
+void BackendTracker::dropExpiredPeers(TimePoint now)
 {
     std::erase_if(m_peers, [&](const auto &item) {
-        const bool isSilent = now - item.second.heardAt > PeerLife;
+        const bool isSilent = now - item.second.lastSeenAt > PeerLife;
         if (isSilent) {
             subtract(item.second, now);
         }
@@ -245,19 +246,19 @@
     if (!query.hasHome()) {
         return;
     }
-    PlacementNews news{query.partKey(), state.hash, choice.weights, 0, query.ownTokens, 0, 0};
+    PlacementUpdate update{query.partKey(), state.hash, choice.weights, 0, query.ownTokens, 0, 0};
     if (choice.saveTo) {
         const std::string salt = cacheSalt(query.model, choice.weights, query.isolated);
-        news.saved = KeptCacheView::keyOf(salt, query.sharedPart);
+        update.saved = KeptCacheView::keyOf(salt, query.sharedPart);
     }
     if (!choice.isHeld) {
-        news.written += query.sharedTokens;
-        news.store = choice.store;
-        news.wanted = choice.store == 0 ? 0 : query.sharedTokens;
+        update.written += query.sharedTokens;
+        update.store = choice.store;
+        update.wanted = choice.store == 0 ? 0 : query.sharedTokens;
     }
-    apply(news, now);
-    if (m_placements.size() < MostPlacementsTold) {
-        m_placements.push_back(news);
+    apply(update, now);
+    if (m_placements.size() < MaxPendingPlacements) {
+        m_placements.push_back(update);
     }
 }
 
@@ -364,25 +365,26 @@
     return known != nullptr && known->limit.observed(perSecond, now);
 }
 
-std::vector<LimitNews> BackendTracker::ownLimits(TimePoint now) const
+std::vector<LimitUpdate> BackendTracker::ownLimits(TimePoint now) const
 {
-    std::vector<LimitNews> news;
+    std::vector<LimitUpdate> updates;
     for (const auto &[id, state] : m_states) {
-        if (auto each = state.limit.toTell(now)) {
+        if (auto each = state.limit.pendingUpdate(now)) {
             each->backend = state.hash;
-            news.push_back(*each);
+            updates.push_back(*each);
         }
     }
-    return news;
+    return updates;
 }
 
-std::vector<EngineId> BackendTracker::heardLimits(std::uint64_t node,
-                                                  const std::vector<LimitNews> &news, TimePoint now)
+std::vector<EngineId> BackendTracker::receivedLimits(std::uint64_t node,
+                                                     const std::vector<LimitUpdate> &updates,
+                                                     TimePoint now)
 {
     std::vector<EngineId> changed;
-    for (const LimitNews &each : news) {
+    for (const LimitUpdate &each : updates) {
         const auto known = m_byHash.find(each.backend);
-        if (known != m_byHash.end() && known->second->limit.heard(node, each, now)) {
+        if (known != m_byHash.end() && known->second->limit.received(node, each, now)) {
             changed.push_back(known->second->entry.id);
         }
     }
--- a/src/vanilladyke/policy/backend_tracker_test.cpp
+++ b/src/vanilladyke/policy/backend_tracker_test.cpp
@@ -313,9 +313,9 @@
     EXPECT_EQ(tracker.choose(shortPrompt(1), at(20))->weights, 2U);
 }
 
-BackendLoadNews newsOf(const BackendTracker &tracker, const EngineId &id, TimePoint now)
+BackendLoadUpdate updateOf(const BackendTracker &tracker, const EngineId &id, TimePoint now)
 {
-    for (const BackendLoadNews &each : tracker.ownLoad(100, now)) {
+    for (const BackendLoadUpdate &each : tracker.ownLoad(100, now)) {
         if (tracker.hashOf(id) == each.backend) {
             return each;
         }
@@ -336,9 +336,9 @@
         there.sent(*home, longPrompt(1), at(0));
     }
     EXPECT_EQ(here.choose(longPrompt(1), at(1))->backend.id, home->backend.id);
-    here.heardLoad(7, there.ownLoad(100, at(1)), at(1));
+    here.receivedLoad(7, there.ownLoad(100, at(1)), at(1));
     EXPECT_NE(here.choose(longPrompt(1), at(2))->backend.id, home->backend.id);
-    here.heardLoad(7, {}, at(3));
+    here.receivedLoad(7, {}, at(3));
     EXPECT_EQ(here.choose(longPrompt(1), at(4))->backend.id, home->backend.id);
 }
 
@@ -348,9 +348,9 @@
     tracker.setBackends(fleet(1));
     PrefillBacklog waiting;
     waiting.add(5, Millis(500));
-    tracker.heardLoad(7, {{tracker.hashOf(EngineId("e0")), waiting, 9, {}, 0}}, at(0));
+    tracker.receivedLoad(7, {{tracker.hashOf(EngineId("e0")), waiting, 9, {}, 0}}, at(0));
     EXPECT_GT(tracker.choose(shortPrompt(1), at(1))->cost, Millis(500));
-    tracker.forgetSilentPeers(at(2500));
+    tracker.dropExpiredPeers(at(2500));
     EXPECT_LT(tracker.choose(shortPrompt(1), at(2501))->cost, Millis(50));
 }
 
@@ -365,14 +365,14 @@
     orderer.loading(engine, at(2000));
     for (BackendTracker &each : others) {
         each.setBackends(fleet(1));
-        each.heardLoad(100, orderer.ownLoad(10, at(0)), at(5));
+        each.receivedLoad(100, orderer.ownLoad(10, at(0)), at(5));
     }
     for (int ms = 10; ms < 2500; ms += 5) {
         const auto from = static_cast<std::size_t>(ms / 5) % others.size();
-        const auto news = others[from].ownLoad(10, at(ms));
+        const auto updates = others[from].ownLoad(10, at(ms));
         for (std::size_t to = 0; to < others.size(); ++to) {
             if (to != from) {
-                others[to].heardLoad(from, news, at(ms + 5));
+                others[to].receivedLoad(from, updates, at(ms + 5));
             }
         }
     }
@@ -391,7 +391,7 @@
     orderer.setBackends(fleet(1, 1));
     other.setBackends(fleet(1, 1));
     orderer.loaded(EngineId("e0"), llmModel, 2, at(0));
-    other.heardLoad(7, orderer.ownLoad(10, at(1)), at(1));
+    other.receivedLoad(7, orderer.ownLoad(10, at(1)), at(1));
     EXPECT_EQ(other.choose(shortPrompt(1), at(2))->weights, 2U);
     EXPECT_TRUE(other.ownLoad(10, at(3)).empty()) << "received updates are not forwarded";
 }
@@ -402,9 +402,9 @@
     BackendTracker tracker(hereCentre, {});
     tracker.setBackends(fleet(1));
     const std::uint64_t engine = BackendTracker::hashOf(EngineId("e0"));
-    tracker.heardLoad(7, {{engine, {}, 0, milliseconds(2000), 1}}, at(0));
+    tracker.receivedLoad(7, {{engine, {}, 0, milliseconds(2000), 1}}, at(0));
     EXPECT_FALSE(tracker.choose(shortPrompt(1), at(1000)));
-    tracker.heardLoad(7, {{engine, {}, 0, {}, 2}}, at(1001));
+    tracker.receivedLoad(7, {{engine, {}, 0, {}, 2}}, at(1001));
     const auto choice = tracker.choose(shortPrompt(1), at(1002));
     ASSERT_TRUE(choice);
     EXPECT_EQ(choice->weights, 2U);
@@ -421,7 +421,7 @@
     const auto home = there.choose(longPrompt(1), at(0));
     ASSERT_TRUE(home);
     there.sent(*home, longPrompt(1), at(0));
-    here.heardPlacements(there.takePlacements(), at(1));
+    here.receivedPlacements(there.takePlacements(), at(1));
     EXPECT_TRUE(there.takePlacements().empty());
     BackendQuery query = longPrompt(1);
     query.exclude = {home->backend.id};
@@ -457,11 +457,11 @@
     here.setBackends(fleet(1));
     orderer.setBackends(fleet(1));
     orderer.loading(EngineId("e0"), at(2000));
-    here.heardLoad(7, {newsOf(orderer, EngineId("e0"), at(500))}, at(500));
+    here.receivedLoad(7, {updateOf(orderer, EngineId("e0"), at(500))}, at(500));
     const auto none = here.choose(shortPrompt(1), at(600));
     ASSERT_FALSE(none);
     EXPECT_EQ(none.error().retryAt, at(2000));
-    here.heardLoad(7, {{here.hashOf(EngineId("e0")), {}, 1, {}, 2}}, at(2000));
+    here.receivedLoad(7, {{here.hashOf(EngineId("e0")), {}, 1, {}, 2}}, at(2000));
     EXPECT_EQ(here.choose(shortPrompt(1), at(2001))->weights, 2U);
 }
 
@@ -507,7 +507,7 @@
         for (std::size_t from = 0; ms % 80 == 0 && from < nodes.size(); ++from) {
             for (std::size_t to = 0; to < nodes.size(); ++to) {
                 if (to != from) {
-                    nodes[to].heardLoad(from, nodes[from].ownLoad(100, at(ms)), at(ms));
+                    nodes[to].receivedLoad(from, nodes[from].ownLoad(100, at(ms)), at(ms));
                 }
             }
         }
--- a/src/vanilladyke/policy/engine_limit.cpp
+++ b/src/vanilladyke/policy/engine_limit.cpp
@@ -7,12 +7,12 @@
 
 double EngineLimit::rate() const
 {
-    return std::max(m_perSecond.value_or(0), LeastPerSecond);
+    return std::max(m_perSecond.value_or(0), MinPerSecond);
 }
 
 double EngineLimit::burst() const
 {
-    return std::max(LeastBurst, rate() * BurstSeconds);
+    return std::max(MinBurst, rate() * BurstSeconds);
 }
 
 double EngineLimit::levelAt(TimePoint now) const
@@ -28,7 +28,7 @@
     return std::max(1.0, m_competitors * std::exp2(-unused));
 }
 
-bool EngineLimit::believe(const Observation &observation, TimePoint now)
+bool EngineLimit::applyObservation(const Observation &observation, TimePoint now)
 {
     const bool isNew = !m_perSecond || observation.perSecond;
     const TimePoint from = isNew ? m_observedAt : m_observedAt + LiftMargin;
@@ -58,19 +58,19 @@
         return false;
     }
     const Observation observation{perSecond, now};
-    const bool isChanged = believe(observation, now);
+    const bool isChanged = applyObservation(observation, now);
     if (perSecond || isChanged) {
         m_own = observation;
     }
     return isChanged;
 }
 
-bool EngineLimit::heard(std::uint64_t node, const LimitNews &news, TimePoint now)
+bool EngineLimit::received(std::uint64_t node, const LimitUpdate &update, TimePoint now)
 {
     bool isChanged = false;
-    if (news.isObserved) {
-        const Observation observation{news.perSecond, now - news.age};
-        isChanged = believe(observation, now);
+    if (update.isObserved) {
+        const Observation observation{update.perSecond, now - update.age};
+        isChanged = applyObservation(observation, now);
         const bool isOver = isChanged && !m_perSecond;
         if (isOver) {
             m_own.reset(); // otherwise a node that joins later would apply the outdated limit
@@ -80,8 +80,8 @@
         return isChanged;
     }
     std::uint32_t &known = m_othersSent[node];
-    const std::uint32_t more = news.sent >= known ? news.sent - known : news.sent;
-    known = news.sent;
+    const std::uint32_t more = update.sent >= known ? update.sent - known : update.sent;
+    known = update.sent;
     if (more > 0) {
         take(more, now);
     }
@@ -100,11 +100,11 @@
 {
     m_competitors = competitorsAt(now);
     const double before = levelAt(now);
-    const double mostDebt = std::max(LeastBurst, MostDebtSeconds * rate());
-    m_level = std::max(before - count, -mostDebt);
+    const double maxDebt = std::max(MinBurst, MaxDebtSeconds * rate());
+    m_level = std::max(before - count, -maxDebt);
     m_levelAt = now;
     const double newDebt = std::max(0.0, -m_level) - std::max(0.0, -before);
-    m_competitors = std::min(MostCompetitors, m_competitors * (1 + std::max(0.0, newDebt)));
+    m_competitors = std::min(MaxCompetitors, m_competitors * (1 + std::max(0.0, newDebt)));
 }
 
 bool EngineLimit::allows(double draw, TimePoint now) const
@@ -117,7 +117,7 @@
     return 1 - std::max(0.0, levelAt(now)) / burst();
 }
 
-TimePoint EngineLimit::opensAt(TimePoint now) const
+TimePoint EngineLimit::nextAllowedAt(TimePoint now) const
 {
     const double missing = 1 - levelAt(now);
     // A token is available, but the draw failed; the next draw may succeed soon.
@@ -125,20 +125,20 @@
     return now + spanOfSeconds(wait);
 }
 
-std::optional<LimitNews> EngineLimit::toTell(TimePoint now) const
+std::optional<LimitUpdate> EngineLimit::pendingUpdate(TimePoint now) const
 {
-    const bool isOver = m_own && !m_own->perSecond && now - m_own->at > TellLiftFor;
+    const bool isOver = m_own && !m_own->perSecond && now - m_own->at > ReportLiftFor;
     if ((!m_own && m_sent == 0) || isOver) {
         return std::nullopt;
     }
-    LimitNews news;
-    news.isObserved = m_own.has_value();
+    LimitUpdate update;
+    update.isObserved = m_own.has_value();
     if (m_own) {
-        news.perSecond = m_own->perSecond;
-        news.age = now - m_own->at;
+        update.perSecond = m_own->perSecond;
+        update.age = now - m_own->at;
     }
-    news.sent = m_sent;
-    return news;
+    update.sent = m_sent;
+    return update;
 }
 
 } // namespace vanilladyke
--- a/src/vanilladyke/policy/engine_limit_test.cpp
+++ b/src/vanilladyke/policy/engine_limit_test.cpp
@@ -22,10 +22,10 @@
 constexpr double Allowed = 1.5;
 constexpr double AllowedExtra = 5;
 
-void tell(const EngineLimit &from, std::uint64_t node, EngineLimit &to, TimePoint now)
+void sendUpdate(const EngineLimit &from, std::uint64_t node, EngineLimit &to, TimePoint now)
 {
-    if (const auto news = from.toTell(now)) {
-        static_cast<void>(to.heard(node, *news, now));
+    if (const auto update = from.pendingUpdate(now)) {
+        static_cast<void>(to.received(node, *update, now));
     }
 }
 
@@ -34,13 +34,13 @@
     std::size_t nodes = 9;
     double limit = 5;
     double demand = 15; ///< requests a second for the engine, over all nodes
-    Duration telling = milliseconds(80);
+    Duration updateInterval = milliseconds(80);
     double lost = 0.03;   ///< fraction of the datagrams
     double hotPart = 0.2; ///< fraction of the demand at the first node
 };
 
-/// Nodes with requests for one engine that send each other updates every `telling`, with random
-/// offsets.
+/// Nodes with requests for one engine that send each other updates every `updateInterval`, with
+/// random offsets.
 class Replay
 {
 public:
@@ -50,7 +50,7 @@
         , m_nodes(load.nodes)
     {
         for (std::size_t i = 0; i < load.nodes; ++i) {
-            m_tellAt.push_back(Start + load.telling * uniformBelow(m_random, 1000) / 1000);
+            m_updateAt.push_back(Start + load.updateInterval * uniformBelow(m_random, 1000) / 1000);
         }
     }
 
@@ -62,9 +62,9 @@
                 want(isHot ? 0 : uniformBelow(m_random, m_nodes.size()), now);
             }
             for (std::size_t i = 0; i < m_nodes.size(); ++i) {
-                if (m_tellAt[i] <= now) {
-                    m_tellAt[i] = now + m_load.telling;
-                    tellAll(i, now);
+                if (m_updateAt[i] <= now) {
+                    m_updateAt[i] = now + m_load.updateInterval;
+                    sendUpdates(i, now);
                 }
             }
             answer(now);
@@ -85,11 +85,11 @@
         }
     }
 
-    void tellAll(std::size_t from, TimePoint now)
+    void sendUpdates(std::size_t from, TimePoint now)
     {
         for (std::size_t to = 0; to < m_nodes.size(); ++to) {
             if (to != from && uniform(m_random) >= m_load.lost) {
-                tell(m_nodes[from], from, m_nodes[to], now);
+                sendUpdate(m_nodes[from], from, m_nodes[to], now);
             }
         }
     }
@@ -108,7 +108,7 @@
     Load m_load;
     Random m_random;
     std::vector<EngineLimit> m_nodes;
-    std::vector<TimePoint> m_tellAt;
+    std::vector<TimePoint> m_updateAt;
     std::vector<TimePoint> m_sent;
     std::vector<std::pair<std::size_t, TimePoint>> m_open;
 };
@@ -168,11 +168,11 @@
     EngineLimit first;
     EngineLimit second;
     EXPECT_TRUE(first.observed(5, Start));
-    tell(first, 1, second, Start + milliseconds(50));
+    sendUpdate(first, 1, second, Start + milliseconds(50));
     EXPECT_EQ(second.perSecond(), 5);
     EXPECT_FALSE(second.allows(0, Start + milliseconds(60)));
     EXPECT_TRUE(second.allows(0, Start + milliseconds(400)));
-    EXPECT_FALSE(second.toTell(Start + milliseconds(400)));
+    EXPECT_FALSE(second.pendingUpdate(Start + milliseconds(400)));
 }
 
 // Guards against a lifted limit that remains at nodes without requests there, or that an outdated
@@ -182,24 +182,24 @@
     EngineLimit first;
     EngineLimit second;
     static_cast<void>(first.observed(5, Start));
-    tell(first, 1, second, Start);
+    sendUpdate(first, 1, second, Start);
     EXPECT_FALSE(first.observed(
             std::nullopt, Start + milliseconds(100))); // may have been written before the limit
     EXPECT_EQ(first.perSecond(), 5);
     EXPECT_TRUE(second.observed(8, Start + seconds(1)));
-    tell(second, 2, first, Start + seconds(1));
+    sendUpdate(second, 2, first, Start + seconds(1));
     EXPECT_EQ(first.perSecond(), 8);
     EXPECT_TRUE(first.observed(std::nullopt, Start + seconds(2)));
-    tell(second, 2, first, Start + seconds(2)); // an answer from a second ago
+    sendUpdate(second, 2, first, Start + seconds(2)); // an answer from a second ago
     EXPECT_FALSE(first.perSecond());
-    tell(first, 1, second, Start + seconds(2));
+    sendUpdate(first, 1, second, Start + seconds(2));
     EXPECT_FALSE(second.perSecond());
     EXPECT_TRUE(second.allows(0.99, Start + seconds(2)));
     EngineLimit third;
-    tell(second, 2, third, Start + seconds(3));
-    tell(first, 1, third, Start + seconds(3));
+    sendUpdate(second, 2, third, Start + seconds(3));
+    sendUpdate(first, 1, third, Start + seconds(3));
     EXPECT_FALSE(third.perSecond());
-    EXPECT_FALSE(first.toTell(Start + seconds(8)));
+    EXPECT_FALSE(first.pendingUpdate(Start + seconds(8)));
 }
 
 // Guards against never sending to an engine with a limit of zero, which would hide the end of the
@@ -209,7 +209,7 @@
     EngineLimit limit;
     static_cast<void>(limit.observed(0, Start));
     EXPECT_FALSE(limit.allows(0, Start + seconds(3)));
-    EXPECT_LE(limit.opensAt(Start), Start + seconds(5));
+    EXPECT_LE(limit.nextAllowedAt(Start), Start + seconds(5));
     EXPECT_TRUE(limit.allows(0, Start + seconds(5)));
 }
 
@@ -225,14 +225,14 @@
     first.sent(now);
     first.sent(now); // the update is lost
     first.sent(now);
-    tell(first, 1, second, now);
+    sendUpdate(first, 1, second, now);
     EXPECT_FALSE(second.allows(0, now + milliseconds(900)));
-    tell(first, 1, second, now + milliseconds(900)); // the same count as before
+    sendUpdate(first, 1, second, now + milliseconds(900)); // the same count as before
     EXPECT_TRUE(second.allows(0, now + milliseconds(1100)));
     EngineLimit anew; // a restarted node counts from zero
     static_cast<void>(anew.observed(2, now));
     anew.sent(now + seconds(1));
-    tell(anew, 1, second, now + seconds(1));
+    sendUpdate(anew, 1, second, now + seconds(1));
     EXPECT_FALSE(second.allows(0, now + seconds(1)));
 }
 
