--- a/include/vanilladyke/policy/backend_choice.hpp
+++ b/include/vanilladyke/policy/backend_choice.hpp
@@ -17,53 +17,56 @@
 /// @brief Parameters of the cost model that ranks backend servers.
 /// The defaults hold for any engine type; properties of the engines are learned or read from the
 /// configuration.
-struct BackendRates
+struct BackendCostParameters
 {
     double engineTokensPerMs = 2000; ///< transfer rate from another engine
     double keptTokensPerMs = 500;    ///< transfer rate from the kept-cache store
-    Millis step{0.4};                ///< delay that each running request adds for the others
+    Millis stepDelay{0.4};           ///< delay that each running request adds for the others
     /// Penalty for placing shared tokens in the memory of a second engine, where they evict others
     /// that will be requested again. In multiples of the tokens' prefill time.
-    double copyReads = 3.4;
+    double copyPenalty = 3.4;
     /// Penalty for prefilling a part outside its preferred engine while no engine holds it: nodes
     /// without the placement update look for it at the preferred engine only. In multiples of its
     /// prefill time.
-    double awayReads = 1.35;
-    Millis otherCentre{6}; ///< round trip and a penalty for transfers between data centres
+    double nonPreferredPenalty = 1.35;
+    /// Round trip and a penalty for transfers between data centres.
+    Millis crossDataCentrePenalty{6};
     /// Penalty for replaced weights, as a fraction of the target. An answer on old weights loses a
     /// fifth of its value, while one that comes later but within the target loses nothing; a delay
     /// is therefore weighted by one half.
-    double oldWeightsPart = 0.4;
+    double oldWeightsPenalty = 0.4;
     /// A request is refused if its predicted wait exceeds this fraction of its target; see
     /// wait_limit.hpp.
-    double mostWaitTargets = 0.5;
+    double maxWaitFraction = 0.5;
     /// Multiplier of the predicted wait when checking that a request begins before the end of the
     /// period in which old weights may be used.
-    double oldWeightsWaits = 1;
+    double oldWeightsWaitFactor = 1;
     /// Servers with old weights are excluded after this time.
-    Duration weightsTime = std::chrono::milliseconds(15000);
+    Duration oldWeightsPeriod = std::chrono::milliseconds(15000);
     /// Number of servers evaluated for a request if the service has more than
     /// BackendTracker::WholeUpTo.
-    std::uint64_t reach = 12; ///< without a preferred engine: the first of the node's own order
-    std::uint64_t homes = 3;  ///< with one: the first of the part's rendezvous order
+    /// Without a preferred engine: the first servers of the node's own order.
+    std::uint64_t candidateCount = 12;
+    /// With one: the first engines of the part's rendezvous order.
+    std::uint64_t preferredCount = 3;
     /// Shared parts with a shorter prefill, less than an engine step, have no preferred engine.
-    Millis leastHomeReading{3};
-    Millis failureCost{1500}; ///< penalty for a server whose requests all fail
-    Millis silenceCost{3000}; ///< penalty for an unresponsive server
+    Millis minPreferredPrefill{3};
+    Millis failurePenalty{1500};      ///< penalty for a server whose requests all fail
+    Millis unresponsivePenalty{3000}; ///< penalty for an unresponsive server
     /// Penalty for using the capacity of a rate-limited server while it is scarce, which leaves it
     /// to requests whose shared part that server holds. It is finite because the end of a limit is
     /// only seen in answers to requests.
-    Millis limitedCost{40};
+    Millis limitedPenalty{40};
     // Each is false only where a mechanism is switched off to measure its effect.
-    bool homesByBeginning = true;
+    bool prefersByCommonBeginning = true;
     bool usesKeptStore = true;
     bool fetchesFromEngines = true;
     bool weighsUrgency = true;
     bool learnsThroughput = true;
     bool learnsSlowdown = true;
-    bool countsOthersLoad = true;
-    bool believesPlacements = true;
-    bool keepsLimits = true;
+    bool countsPeerLoad = true;
+    bool usesPlacementUpdates = true;
+    bool enforcesLimits = true;
 };
 
 /// @brief Requirements of one request.
--- a/include/vanilladyke/policy/backend_tracker.hpp
+++ b/include/vanilladyke/policy/backend_tracker.hpp
@@ -31,14 +31,15 @@
 /// - All of these have a queue: further servers, drawn at random for this request, are evaluated
 ///   before it is refused. A new draw for each request spreads the excess over the fleet.
 /// - An engine that answers nothing while requests wait there is avoided after SilenceToAvoid. An
-///   engine that fails a fraction of its requests gets that fraction of BackendRates::failureCost
-///   as a penalty.
+///   engine that fails a fraction of its requests gets that fraction of
+///   BackendCostParameters::failurePenalty as a penalty.
 /// - Engines of any speed: the prefill throughput of each service is learned from requests that met
 ///   no queue, and the slowdown of each engine relative to it; see prefill_throughput.hpp.
 /// - New weights: until the preferred engine of a part has loaded them, the first engine of the
-///   order that has replaces it. Engines on older weights get BackendRates::oldWeightsPart as a
-///   penalty. They are excluded for requests that might begin after the platform's period for old
-///   weights: an engine with a queue of a second is excluded a second earlier.
+///   order that has replaces it. Engines on older weights get
+///   BackendCostParameters::oldWeightsPenalty as a penalty. They are excluded for requests that
+///   might begin after the platform's period for old weights: an engine with a queue of a second is
+///   excluded a second earlier.
 namespace vanilladyke {
 
 /// @brief Weights that the operator announced for a model.
@@ -76,7 +77,7 @@
     static constexpr Duration ReportWeightsFor = std::chrono::seconds(3);
 
     /// @param self seed of this node's order of servers, distinct for each node
-    BackendTracker(DataCentreId here, BackendRates rates, std::uint64_t self = 0);
+    BackendTracker(DataCentreId here, BackendCostParameters rates, std::uint64_t self = 0);
 
     /// @brief Replaces the list of servers; the state of those that remain is kept.
     void setBackends(const std::vector<BackendEntry> &serving);
@@ -265,7 +266,7 @@
     static void changePeersInFlight(State &state, double by, TimePoint now);
 
     DataCentreId m_here;
-    BackendRates m_rates;
+    BackendCostParameters m_costs;
     std::uint64_t m_self;
     std::unordered_map<ServiceId, PrefillThroughput> m_throughputs;
     std::unordered_map<ServiceId, RequestDuration> m_durations;
--- a/include/vanilladyke/traffic/traffic_state.hpp
+++ b/include/vanilladyke/traffic/traffic_state.hpp
@@ -28,7 +28,7 @@
 {
     std::uint64_t self = 0; ///< hash of the node's name
     DataCentreId dataCentre;
-    BackendRates rates;
+    BackendCostParameters rates;
     Duration keysValidFor = std::chrono::milliseconds(4500); ///< after they were last proved
     bool failsClosed = true; ///< without proof of the keys' age no request with a key passes
     bool withdraws = true;   ///< what has not begun when its server's weights are too old
--- a/src/vanilladyke/app/mechanism_switches.cpp
+++ b/src/vanilladyke/app/mechanism_switches.cpp
@@ -13,16 +13,16 @@
 void switchOff(Mechanism mechanism, NodeSettings *settings)
 {
     TrafficSettings &traffic = settings->traffic;
-    BackendRates &rates = traffic.rates;
+    BackendCostParameters &rates = traffic.rates;
     switch (mechanism) {
     case Mechanism::Homes:
-        rates.leastHomeReading = NeverReached;
+        rates.minPreferredPrefill = NeverReached;
         break;
     case Mechanism::NestedHomes:
-        rates.homesByBeginning = false;
+        rates.prefersByCommonBeginning = false;
         break;
     case Mechanism::CopyCharge:
-        rates.copyReads = 0;
+        rates.copyPenalty = 0;
         break;
     case Mechanism::KeptStore:
         rates.usesKeptStore = false;
@@ -40,25 +40,25 @@
         rates.learnsSlowdown = false;
         break;
     case Mechanism::WaitLimit:
-        rates.mostWaitTargets = NeverReachedTargets;
+        rates.maxWaitFraction = NeverReachedTargets;
         break;
     case Mechanism::LoadNews:
-        rates.countsOthersLoad = false;
+        rates.countsPeerLoad = false;
         break;
     case Mechanism::PlacementNews:
-        rates.believesPlacements = false;
+        rates.usesPlacementUpdates = false;
         break;
     case Mechanism::OwnDataCentre:
-        rates.otherCentre = Millis::zero();
+        rates.crossDataCentrePenalty = Millis::zero();
         break;
     case Mechanism::SilenceCharge:
-        rates.silenceCost = Millis::zero();
+        rates.unresponsivePenalty = Millis::zero();
         break;
     case Mechanism::FailureCharge:
-        rates.failureCost = Millis::zero();
+        rates.failurePenalty = Millis::zero();
         break;
     case Mechanism::OldWeightsCharge:
-        rates.oldWeightsPart = 0;
+        rates.oldWeightsPenalty = 0;
         break;
     case Mechanism::PacedRollout:
         settings->control.rollout.loadingPart = 1;
@@ -74,7 +74,7 @@
         traffic.resumes = false;
         break;
     case Mechanism::EngineLimits:
-        traffic.rates.keepsLimits = false;
+        traffic.rates.enforcesLimits = false;
         break;
     case Mechanism::Quarantine:
         traffic.quarantines = false;
--- a/src/vanilladyke/app/mechanism_switches_test.cpp
+++ b/src/vanilladyke/app/mechanism_switches_test.cpp
@@ -16,8 +16,8 @@
 {
     const auto settings = parseNodeSettings(settingsWith(""));
     ASSERT_TRUE(settings);
-    EXPECT_TRUE(settings->traffic.rates.countsOthersLoad);
-    EXPECT_TRUE(settings->traffic.rates.believesPlacements);
+    EXPECT_TRUE(settings->traffic.rates.countsPeerLoad);
+    EXPECT_TRUE(settings->traffic.rates.usesPlacementUpdates);
     EXPECT_TRUE(settings->follow.asksOthers);
 }
 
@@ -43,7 +43,7 @@
     const auto settings =
             parseNodeSettings(settingsWith(R"(, "off": ["copy_charge", "shared_reading"])"));
     ASSERT_TRUE(settings);
-    EXPECT_EQ(settings->traffic.rates.copyReads, 0);
+    EXPECT_EQ(settings->traffic.rates.copyPenalty, 0);
     EXPECT_FALSE(settings->follow.asksOthers);
 }
 
--- a/src/vanilladyke/app/node_settings.cpp
+++ b/src/vanilladyke/app/node_settings.cpp
@@ -29,7 +29,7 @@
     *charge = Millis(value);
 }
 
-void readPlacement(JsonReader &reader, BackendRates *rates)
+void readPlacement(JsonReader &reader, BackendCostParameters *rates)
 {
     constexpr double MostReads = 1000;
     constexpr std::uint64_t MostWeighed = 10'000;
@@ -37,15 +37,15 @@
     reader.allowOnly({"copy_reads", "away_reads", "old_weights_part", "old_weights_waits",
                       "other_centre_ms", "reach", "homes", "least_home_reading_ms",
                       "most_wait_targets"});
-    reader.number("copy_reads", &rates->copyReads, 0, MostReads);
-    reader.number("away_reads", &rates->awayReads, 0, MostReads);
-    reader.number("most_wait_targets", &rates->mostWaitTargets, 0, MostReads);
-    reader.number("old_weights_part", &rates->oldWeightsPart, 0, 1);
-    reader.number("old_weights_waits", &rates->oldWeightsWaits, 0, MostWaits);
-    readCharge(reader, "other_centre_ms", &rates->otherCentre);
-    reader.integer("reach", &rates->reach, 1, MostWeighed);
-    reader.integer("homes", &rates->homes, 1, MostWeighed);
-    readCharge(reader, "least_home_reading_ms", &rates->leastHomeReading);
+    reader.number("copy_reads", &rates->copyPenalty, 0, MostReads);
+    reader.number("away_reads", &rates->nonPreferredPenalty, 0, MostReads);
+    reader.number("most_wait_targets", &rates->maxWaitFraction, 0, MostReads);
+    reader.number("old_weights_part", &rates->oldWeightsPenalty, 0, 1);
+    reader.number("old_weights_waits", &rates->oldWeightsWaitFactor, 0, MostWaits);
+    readCharge(reader, "other_centre_ms", &rates->crossDataCentrePenalty);
+    reader.integer("reach", &rates->candidateCount, 1, MostWeighed);
+    reader.integer("homes", &rates->preferredCount, 1, MostWeighed);
+    readCharge(reader, "least_home_reading_ms", &rates->minPreferredPrefill);
 }
 
 void readRollout(JsonReader &reader, RolloutTerms *terms)
@@ -141,7 +141,7 @@
     reader.milliseconds("keys_valid_ms", &keysValid, KeyMargin + LeastSpan, LongestSpan);
     settings.traffic.keysValidFor = keysValid - KeyMargin;
     reader.boolean("fails_closed", &settings.traffic.failsClosed);
-    reader.milliseconds("weights_time_ms", &settings.traffic.rates.weightsTime, LeastSpan,
+    reader.milliseconds("weights_time_ms", &settings.traffic.rates.oldWeightsPeriod, LeastSpan,
                         LongestSpan);
     reader.milliseconds("order_gap_ms", &settings.control.lease.gap, LeastSpan, LongestSpan);
     reader.milliseconds("drain_ms", &settings.follow.drain, LeastSpan, LongestSpan);
@@ -157,7 +157,7 @@
             readPlacement(inner, &settings.traffic.rates);
         });
     }
-    settings.control.rollout.allowed = settings.traffic.rates.weightsTime;
+    settings.control.rollout.allowed = settings.traffic.rates.oldWeightsPeriod;
     if (reader.has("rollout")) {
         reader.object("rollout", [&settings](JsonReader &inner) {
             readRollout(inner, &settings.control.rollout);
--- a/src/vanilladyke/node/control_plane.cpp
+++ b/src/vanilladyke/node/control_plane.cpp
@@ -136,7 +136,7 @@
     }
     // A node that has just started can't tell how long ago; half of the time allowed is a guess
     // that neither closes all engines on older weights at once nor keeps them open too long.
-    const TimePoint guess = now - m_traffic.settings.rates.weightsTime / 2;
+    const TimePoint guess = now - m_traffic.settings.rates.oldWeightsPeriod / 2;
     const NamedWeights named{model, {version, guess, guess}};
     tell([named](TrafficState &traffic) {
         traffic.dateWeights(named, DateGrounds::Guess, "guess");
--- a/src/vanilladyke/policy/backend_choice.cpp
+++ b/src/vanilladyke/policy/backend_choice.cpp
@@ -42,7 +42,7 @@
     if (state == m_states.end() || dates == m_weightsDates.end()) {
         return std::nullopt;
     }
-    return dates->second.endOf(weightsOf(state->second, model), m_rates.weightsTime);
+    return dates->second.endOf(weightsOf(state->second, model), m_costs.oldWeightsPeriod);
 }
 
 bool BackendTracker::mayBegin(const State &state, const BackendQuery &query,
@@ -51,13 +51,13 @@
     if (dates == nullptr) {
         return true;
     }
-    const auto end = dates->endOf(weightsOf(state, query.model), m_rates.weightsTime);
+    const auto end = dates->endOf(weightsOf(state, query.model), m_costs.oldWeightsPeriod);
     if (!end) {
         return true;
     }
     const auto tokens = static_cast<double>(query.sharedTokens + query.ownTokens);
     const Millis waits = waitOf(state, query.urgency, now) + prefillTime(state, tokens, now);
-    const auto begins = std::chrono::duration_cast<Duration>(m_rates.oldWeightsWaits * waits);
+    const auto begins = std::chrono::duration_cast<Duration>(m_costs.oldWeightsWaitFactor * waits);
     return now + begins + OldWeightsMargin < *end;
 }
 
@@ -88,8 +88,8 @@
     // The slots of a full server become free one after the other.
     const Millis perSlot = state.slotTimes->mean() / std::max(state.entry.slots, 1);
     const double slotsUsed = static_cast<double>(busy) / std::max(state.entry.slots, 1);
-    const int most = m_rates.weighsUrgency ? urgency : PrefillBacklog::Urgencies - 1;
-    return state.backlog.ahead(most) + state.peerBacklog.ahead(most, now) + busy * m_rates.step
+    const int most = m_costs.weighsUrgency ? urgency : PrefillBacklog::Urgencies - 1;
+    return state.backlog.ahead(most) + state.peerBacklog.ahead(most, now) + busy * m_costs.stepDelay
            + over * perSlot + slotsUsed * PlainCall;
 }
 
@@ -97,19 +97,20 @@
                                  const WeightsDates *dates, TimePoint now) const
 {
     const std::uint64_t weights = weightsOf(state, query.model);
-    Millis charges = state.entry.dataCentre == m_here ? Millis::zero() : m_rates.otherCentre;
+    Millis charges =
+            state.entry.dataCentre == m_here ? Millis::zero() : m_costs.crossDataCentrePenalty;
     if (state.failurePart > 0) {
         const double age = secondsOf(now - state.failureAt) / secondsOf(FailureHalfLife);
-        charges += m_rates.failureCost * state.failurePart * std::exp2(-age);
+        charges += m_costs.failurePenalty * state.failurePart * std::exp2(-age);
     }
     if (isSilent(state, now)) {
-        charges += m_rates.silenceCost;
+        charges += m_costs.unresponsivePenalty;
     }
     if (state.limit.perSecond()) {
-        charges += m_rates.limitedCost * state.limit.scarcity(now);
+        charges += m_costs.limitedPenalty * state.limit.scarcity(now);
     }
     if (dates != nullptr && dates->isReplaced(weights, now - OldWeightsGrace)) {
-        charges += m_rates.oldWeightsPart * Millis(query.target);
+        charges += m_costs.oldWeightsPenalty * Millis(query.target);
     }
     return charges;
 }
@@ -141,11 +142,11 @@
     std::vector<Candidate> others;
     std::size_t onNewest = 0;
     for (const Candidate &each : *open) {
-        const bool isFirst = kept.size() + others.size() < m_rates.homes;
+        const bool isFirst = kept.size() + others.size() < m_costs.preferredCount;
         const bool isHolder =
                 std::find(holders.begin(), holders.end(), each.state->hash) != holders.end();
         bool standsIn = newest > 0 && weightsOf(*each.state, query.model) >= newest;
-        standsIn = standsIn && onNewest++ < m_rates.homes;
+        standsIn = standsIn && onNewest++ < m_costs.preferredCount;
         (isFirst || isHolder || standsIn ? kept : others).push_back(each);
     }
     const auto drawn = others.begin() + static_cast<std::ptrdiff_t>(std::min(more, others.size()));
@@ -165,7 +166,7 @@
     if (closedUntil > now) {
         return closedUntil;
     }
-    if (!m_rates.keepsLimits || state.limit.allows(drawFor(state.hash, now), now)) {
+    if (!m_costs.enforcesLimits || state.limit.allows(drawFor(state.hash, now), now)) {
         return std::nullopt;
     }
     return state.limit.nextAllowedAt(now);
@@ -180,7 +181,8 @@
     const std::uint64_t part = hasHome ? query.homeKey() : 0;
     const bool isWhole = all.size() <= WholeUpTo;
     const std::size_t most =
-            isWhole ? all.size() : (hasHome ? m_rates.homes : m_rates.reach + more);
+            isWhole ? all.size()
+                    : (hasHome ? m_costs.preferredCount : m_costs.candidateCount + more);
     // With a store in each data centre, the engines in the data centre of the preferred one come
     // first in the order, close to the store that keeps the part.
     constexpr std::uint64_t Beside = 1ULL << 63U;
@@ -226,7 +228,7 @@
                                                           TimePoint now) const
 {
     const State *best = nullptr;
-    if (!m_rates.fetchesFromEngines) {
+    if (!m_costs.fetchesFromEngines) {
         return best;
     }
     for (const std::uint64_t backend : m_holders.holders(question, now)) {
@@ -275,7 +277,7 @@
     const State *holder = holderBeside(engine, question, query, now);
     const std::uint64_t storeName = store == nullptr ? 0 : hashOf(store->endpoint);
     const bool mayFetch = isKept
-                          && m_fetches.allows(storeName, m_rates.keptTokensPerMs,
+                          && m_fetches.allows(storeName, m_costs.keptTokensPerMs,
                                               drawFor(question.part, now), now);
     if (holder != nullptr) {
         reading.fetchFrom = holder->entry.endpoint;
@@ -287,15 +289,15 @@
     }
     reading.store = isKept && holder == nullptr ? storeName : 0;
     if (holder != nullptr) {
-        reading.charge = m_rates.copyReads * sharedTime;
-        reading.time += FetchSetup + Millis(shared / m_rates.engineTokensPerMs);
+        reading.charge = m_costs.copyPenalty * sharedTime;
+        reading.time += FetchSetup + Millis(shared / m_costs.engineTokensPerMs);
         return reading;
     }
-    reading.charge = isHome ? Millis::zero() : m_rates.awayReads * sharedTime;
+    reading.charge = isHome ? Millis::zero() : m_costs.nonPreferredPenalty * sharedTime;
     if (mayFetch) {
         constexpr double AcrossCentres = 2;
         const double far = store->dataCentre == engine.entry.dataCentre ? 1 : AcrossCentres;
-        reading.time += FetchSetup + Millis(far * shared / m_rates.keptTokensPerMs);
+        reading.time += FetchSetup + Millis(far * shared / m_costs.keptTokensPerMs);
     } else {
         reading.tokens += shared;
         reading.time += sharedTime;
@@ -315,10 +317,10 @@
     const WeightsDates *dates = hasDates ? &datesFound->second : nullptr;
     NoBackend none{true, now + LongestClose};
     std::optional<BackendChoice> chosen = best(query, weigh(query, dates, 0, now, &none), now);
-    const Millis mostWait = m_rates.mostWaitTargets * Millis(query.target);
+    const Millis mostWait = m_costs.maxWaitFraction * Millis(query.target);
     if (!chosen || chosen->waits > mostWait) {
         // The request would be refused: other servers may be free, though they prefill more of it.
-        Weighed wider = weigh(query, dates, m_rates.reach, now, &none);
+        Weighed wider = weigh(query, dates, m_costs.candidateCount, now, &none);
         const auto crowded =
                 std::partition(wider.open.begin(), wider.open.end(),
                                [&](const Candidate &each) { return each.waits <= mostWait; });
--- a/src/vanilladyke/policy/backend_fleet_test.cpp
+++ b/src/vanilladyke/policy/backend_fleet_test.cpp
@@ -119,7 +119,7 @@
 class FleetTrial
 {
 public:
-    FleetTrial(const Load &load, const BackendRates &rates)
+    FleetTrial(const Load &load, const BackendCostParameters &rates)
         : m_load(load)
         , m_random(11)
         , m_engines(static_cast<std::size_t>(load.engines))
@@ -358,7 +358,7 @@
 
 Result play(const Load &load)
 {
-    BackendRates rates;
+    BackendCostParameters rates;
     rates.keptTokensPerMs = 660;
     rates.engineTokensPerMs = 2500;
     return FleetTrial(load, rates).run();
--- a/src/vanilladyke/policy/backend_slots_test.cpp
+++ b/src/vanilladyke/policy/backend_slots_test.cpp
@@ -102,8 +102,8 @@
             entries.push_back(entry);
         }
         for (std::uint64_t i = 1; i <= Nodes; ++i) {
-            m_nodes.emplace_back(DataCentreId("dc" + std::to_string(i % 3)), BackendRates(),
-                                 mixBits(i));
+            m_nodes.emplace_back(DataCentreId("dc" + std::to_string(i % 3)),
+                                 BackendCostParameters(), mixBits(i));
             m_nodes.back().setBackends(entries);
         }
     }
--- a/src/vanilladyke/policy/backend_tracker.cpp
+++ b/src/vanilladyke/policy/backend_tracker.cpp
@@ -8,9 +8,9 @@
 
 namespace vanilladyke {
 
-BackendTracker::BackendTracker(DataCentreId here, BackendRates rates, std::uint64_t self)
+BackendTracker::BackendTracker(DataCentreId here, BackendCostParameters rates, std::uint64_t self)
     : m_here(std::move(here))
-    , m_rates(rates)
+    , m_costs(rates)
     , m_self(self)
 {}
 
@@ -58,7 +58,7 @@
 
 std::uint64_t BackendTracker::leastHomeTokens(const ServiceId &service) const
 {
-    const double tokens = m_rates.leastHomeReading.count() * throughputOf(service).tokensPerMs();
+    const double tokens = m_costs.minPreferredPrefill.count() * throughputOf(service).tokensPerMs();
     return static_cast<std::uint64_t>(tokens);
 }
 
@@ -146,7 +146,7 @@
             continue;
         }
         State &state = *known->second;
-        if (m_rates.countsOthersLoad) {
+        if (m_costs.countsPeerLoad) {
             changePeersInFlight(state, each.inFlight, now);
             peer.parts.push_back(
                     {each.backend, state.peerBacklog.add(each.backlog, now), each.inFlight});
@@ -177,7 +177,7 @@
 
 void BackendTracker::receivedPlacements(const std::vector<PlacementUpdate> &updates, TimePoint now)
 {
-    if (!m_rates.believesPlacements) {
+    if (!m_costs.usesPlacementUpdates) {
         return;
     }
     for (const PlacementUpdate &each : updates) {
@@ -198,7 +198,7 @@
 
 bool BackendTracker::weightsNamed(const NamedWeights &weights, DateGrounds grounds, TimePoint now)
 {
-    return m_weightsDates[weights.model].add(weights.date, grounds, now, m_rates.weightsTime);
+    return m_weightsDates[weights.model].add(weights.date, grounds, now, m_costs.oldWeightsPeriod);
 }
 
 std::vector<NamedWeights> BackendTracker::namedWeights() const
@@ -220,8 +220,8 @@
 
 void BackendTracker::setTransferRates(const TransferRates &rates)
 {
-    m_rates.engineTokensPerMs = rates.engine > 0 ? rates.engine : m_rates.engineTokensPerMs;
-    m_rates.keptTokensPerMs = rates.kept > 0 ? rates.kept : m_rates.keptTokensPerMs;
+    m_costs.engineTokensPerMs = rates.engine > 0 ? rates.engine : m_costs.engineTokensPerMs;
+    m_costs.keptTokensPerMs = rates.kept > 0 ? rates.kept : m_costs.keptTokensPerMs;
 }
 
 void BackendTracker::learnWeights(State &state, const ModelId &model, std::uint64_t version)
@@ -283,10 +283,10 @@
     state.begunAt.push_back(now);
     if (choice.isAlone && choice.readTokens > 0) {
         const Millis took = now - choice.chosenAt;
-        if (m_rates.learnsSlowdown) {
+        if (m_costs.learnsSlowdown) {
             state.slowdown.observed(took / state.throughput->predict(choice.readTokens), now);
         }
-        if (m_rates.learnsThroughput) {
+        if (m_costs.learnsThroughput) {
             state.throughput->observed(choice.readTokens, took);
         }
     }
@@ -400,7 +400,7 @@
 bool BackendTracker::hasRoom(const EngineId &id, TimePoint now) const
 {
     const auto known = m_states.find(id);
-    return known == m_states.end() || !m_rates.keepsLimits || known->second.limit.allows(0, now);
+    return known == m_states.end() || !m_costs.enforcesLimits || known->second.limit.allows(0, now);
 }
 
 std::size_t BackendTracker::limitedEngines() const
--- a/src/vanilladyke/policy/backend_tracker_test.cpp
+++ b/src/vanilladyke/policy/backend_tracker_test.cpp
@@ -467,7 +467,7 @@
 
 /// Fraction of fifty long prompts a second, over six nodes, that are sent to their preferred
 /// engines.
-double partAtHome(const BackendRates &rates)
+double partAtHome(const BackendCostParameters &rates)
 {
     constexpr int Nodes = 6;
     struct Running
@@ -529,11 +529,11 @@
 // engine.
 TEST(BackendTracker, AnEvenLoadStaysAtItsHomesThoughLoadsAreShared)
 {
-    BackendRates free;
-    free.copyReads = 0;
-    free.awayReads = 0;
-    EXPECT_GT(partAtHome(BackendRates{}), 0.95);
-    EXPECT_LT(partAtHome(free), 0.85) << "without penalties the load has to spread";
+    BackendCostParameters withoutPenalties;
+    withoutPenalties.copyPenalty = 0;
+    withoutPenalties.nonPreferredPenalty = 0;
+    EXPECT_GT(partAtHome(BackendCostParameters{}), 0.95);
+    EXPECT_LT(partAtHome(withoutPenalties), 0.85) << "without penalties the load has to spread";
 }
 
 } // namespace
--- a/src/vanilladyke/traffic/exchange.cpp
+++ b/src/vanilladyke/traffic/exchange.cpp
@@ -213,7 +213,7 @@
         for (std::size_t i = 0; i + 1 < m_request.parts.size(); ++i) {
             shared += m_request.parts[i].tokens;
         }
-        if (m_state.settings.rates.homesByBeginning) {
+        if (m_state.settings.rates.prefersByCommonBeginning) {
             result.homePart = homePart(m_request.parts, shared);
         }
         result.sharedPart = m_request.parts[m_request.parts.size() - 2].id;
@@ -241,7 +241,7 @@
     if (m_request.model.empty() || m_headWritten || m_sends > 0) {
         return std::nullopt;
     }
-    const double most = m_state.settings.rates.mostWaitTargets;
+    const double most = m_state.settings.rates.maxWaitFraction;
     return refusedUntil({m_route->targetLatency, m_deadline, most}, choice.waits, now);
 }
 
--- a/src/vanilladyke/traffic/exchange_test.cpp
+++ b/src/vanilladyke/traffic/exchange_test.cpp
@@ -561,7 +561,7 @@
     m_state.book.setBackends(m_entries);
     const TimePoint now = MonotonicClock::now();
     constexpr Duration Left = milliseconds(2500); // open to choices, soon to be withdrawn from
-    const TimePoint namedAt = now + Left - m_state.settings.rates.weightsTime;
+    const TimePoint namedAt = now + Left - m_state.settings.rates.oldWeightsPeriod;
     m_state.book.weightsNamed({model, {2, namedAt, namedAt}}, DateGrounds::Read, now);
     m_state.book.loading(EngineId("e3"), now + Left / 2);
     connect();
