--- a/include/vanilladyke/policy/backend_choice.hpp
+++ b/include/vanilladyke/policy/backend_choice.hpp
@@ -80,7 +80,7 @@
     /// The part that determines the preferred engine; if empty, sharedPart. Parts with a common
     /// beginning that differ in less than half of their tokens have the same preferred engine, so
     /// that the common beginning is prefilled once.
-    std::string homePart;
+    std::string preferencePart;
     std::uint64_t sharedTokens = 0; ///< up to the end of that part
     std::uint64_t ownTokens = 0;    ///< after the shared part
     /// The first token has its full value within this time.
@@ -90,14 +90,14 @@
     const KeptCacheView *kept = nullptr; ///< null: there is no kept-cache store
     std::uint64_t memoryTokens = 0;      ///< capacity of an engine's prefix cache; 0: unknown
 
-    std::uint64_t leastHomeTokens = 512; ///< shorter shared parts have no preferred engine
+    std::uint64_t minPreferredTokens = 512; ///< shorter shared parts have no preferred engine
 
     /// @brief Whether the shared part is expensive enough to prefer certain engines.
-    [[nodiscard]] bool hasHome() const;
+    [[nodiscard]] bool hasPreferredEngine() const;
     /// @brief Hash of the shared part and of the customer that it is isolated for, if any.
     [[nodiscard]] std::uint64_t partKey() const;
     /// @brief Hash from which the rendezvous order of engines is computed.
-    [[nodiscard]] std::uint64_t homeKey() const;
+    [[nodiscard]] std::uint64_t preferenceKey() const;
 
 private:
     [[nodiscard]] std::uint64_t keyOf(const std::string &part) const;
@@ -110,20 +110,20 @@
     std::uint64_t weights = 0;      ///< version that the request will run on; 0: unknown
     std::uint64_t part = 0;         ///< BackendQuery::partKey; 0: no preferred engine
     std::uint64_t sharedTokens = 0; ///< tokens that other requests may share
-    bool isHeld = false; ///< the shared part is predicted to be in the engine's prefix cache
+    bool isCached = false; ///< the shared part is predicted to be in the engine's prefix cache
     std::optional<Endpoint> fetchFrom; ///< engine or store that may hold the shared part
     std::optional<Endpoint> saveTo;    ///< store that lacks the shared part
-    std::uint64_t store = 0; ///< hash of the store that the part would be fetched from; 0: none
-    Millis cost{};           ///< predicted time with penalties
-    Millis first{};          ///< predicted time to the first token
-    int urgency = 5;         ///< of the request
+    std::uint64_t store = 0;   ///< hash of the store that the part would be fetched from; 0: none
+    Millis cost{};             ///< predicted time with penalties
+    Millis timeToFirstToken{}; ///< predicted time to the first token
+    int urgency = 5;           ///< of the request
     TimePoint chosenAt;
-    Millis waits{};         ///< share of `first` spent on the backlog ahead
-    double tokensPerMs = 0; ///< predicted prefill throughput of the engine
-    double readTokens = 0;  ///< tokens to prefill, if the predicted cache content is right
+    Millis wait{};            ///< share of `timeToFirstToken` spent on the backlog ahead
+    double tokensPerMs = 0;   ///< predicted prefill throughput of the engine
+    double prefillTokens = 0; ///< tokens to prefill, if the predicted cache content is right
     /// No backlog is known there: the time to the first token is a sample of the throughput.
-    bool isAlone = false;
-    Millis reading{};           ///< share of `first` spent on prefill
+    bool hasNoBacklog = false;
+    Millis prefill{};           ///< share of `timeToFirstToken` spent on prefill
     std::size_t candidates = 0; ///< number of evaluated servers
 };
 
--- a/include/vanilladyke/policy/backend_tracker.hpp
+++ b/include/vanilladyke/policy/backend_tracker.hpp
@@ -146,7 +146,7 @@
     /// @brief Learned prefill throughput of a service's engines.
     [[nodiscard]] const PrefillThroughput &throughputOf(const ServiceId &service) const;
     /// @brief Minimum number of shared tokens for which a preferred engine pays off.
-    [[nodiscard]] std::uint64_t leastHomeTokens(const ServiceId &service) const;
+    [[nodiscard]] std::uint64_t minPreferredTokens(const ServiceId &service) const;
     [[nodiscard]] int inFlight(const EngineId &id) const;
     [[nodiscard]] std::size_t size() const { return m_states.size(); }
     [[nodiscard]] bool knows(const EngineId &id) const { return m_states.contains(id); }
@@ -204,15 +204,15 @@
     {
         const State *state = nullptr;
         std::uint64_t order = 0; ///< rank in the order of the shared part; the highest is preferred
-        Millis waits{};
+        Millis wait{};
         Millis cost{}; ///< without prefill
     };
     /// How the prompt would get into an engine's prefix cache, and at which cost.
-    struct Reading
+    struct PrefillPlan
     {
         Millis time{};
         Millis charge{};
-        bool isHeld = false;
+        bool isCached = false;
         std::optional<Endpoint> fetchFrom;
         std::optional<Endpoint> saveTo;
         std::uint64_t store = 0;
@@ -250,9 +250,9 @@
                                 const WeightsDates *dates, TimePoint now) const;
     /// Pseudo-random number in [0, 1) that differs between requests for the same part.
     [[nodiscard]] static double drawFor(std::uint64_t part, TimePoint now);
-    [[nodiscard]] Reading readingAt(const State &engine, const State &home,
-                                    const BackendQuery &query, const KeptStore *store,
-                                    TimePoint now) const;
+    [[nodiscard]] PrefillPlan planPrefill(const State &engine, const State &home,
+                                          const BackendQuery &query, const KeptStore *store,
+                                          TimePoint now) const;
     [[nodiscard]] const State *holderBeside(const State &engine,
                                             const PartHolders::Question &question,
                                             const BackendQuery &query, TimePoint now) const;
--- a/src/vanilladyke/policy/backend_choice.cpp
+++ b/src/vanilladyke/policy/backend_choice.cpp
@@ -15,9 +15,9 @@
 
 } // namespace
 
-bool BackendQuery::hasHome() const
+bool BackendQuery::hasPreferredEngine() const
 {
-    return !sharedPart.empty() && sharedTokens >= leastHomeTokens;
+    return !sharedPart.empty() && sharedTokens >= minPreferredTokens;
 }
 
 std::uint64_t BackendQuery::keyOf(const std::string &part) const
@@ -30,9 +30,9 @@
     return keyOf(sharedPart);
 }
 
-std::uint64_t BackendQuery::homeKey() const
+std::uint64_t BackendQuery::preferenceKey() const
 {
-    return keyOf(homePart.empty() ? sharedPart : homePart);
+    return keyOf(preferencePart.empty() ? sharedPart : preferencePart);
 }
 
 std::optional<TimePoint> BackendTracker::weightsEnd(const EngineId &id, const ModelId &model) const
@@ -56,8 +56,8 @@
         return true;
     }
     const auto tokens = static_cast<double>(query.sharedTokens + query.ownTokens);
-    const Millis waits = waitOf(state, query.urgency, now) + prefillTime(state, tokens, now);
-    const auto begins = std::chrono::duration_cast<Duration>(m_costs.oldWeightsWaitFactor * waits);
+    const Millis wait = waitOf(state, query.urgency, now) + prefillTime(state, tokens, now);
+    const auto begins = std::chrono::duration_cast<Duration>(m_costs.oldWeightsWaitFactor * wait);
     return now + begins + OldWeightsMargin < *end;
 }
 
@@ -177,23 +177,23 @@
                                               NoBackend *none) const
 {
     const std::vector<const State *> &all = m_byService.at(query.service);
-    const bool hasHome = query.hasHome();
-    const std::uint64_t part = hasHome ? query.homeKey() : 0;
+    const bool hasPreferredEngine = query.hasPreferredEngine();
+    const std::uint64_t part = hasPreferredEngine ? query.preferenceKey() : 0;
     const bool isWhole = all.size() <= WholeUpTo;
     const std::size_t most =
             isWhole ? all.size()
-                    : (hasHome ? m_costs.preferredCount : m_costs.candidateCount + more);
+                    : (hasPreferredEngine ? m_costs.preferredCount : m_costs.candidateCount + more);
     // With a store in each data centre, the engines in the data centre of the preferred one come
     // first in the order, close to the store that keeps the part.
     constexpr std::uint64_t Beside = 1ULL << 63U;
     const bool hasStores = query.kept != nullptr && query.kept->stores() > 1;
     Weighed result;
-    if (hasHome) {
+    if (hasPreferredEngine) {
         result.homeCentre = homeCentre(all, part);
     }
     std::size_t good = 0;
     for (const State *state : all) {
-        if (!hasHome && good >= most) {
+        if (!hasPreferredEngine && good >= most) {
             break;
         }
         const bool isTried = std::find(query.exclude.begin(), query.exclude.end(), state->entry.id)
@@ -212,12 +212,12 @@
         }
         result.open.push_back({state, order, {}});
     }
-    if (hasHome && result.open.size() > most) {
+    if (hasPreferredEngine && result.open.size() > most) {
         keepHomes(query, more, now, &result.open);
     }
     for (Candidate &each : result.open) {
-        each.waits = waitOf(*each.state, query.urgency, now);
-        each.cost = each.waits + chargesOf(*each.state, query, dates, now);
+        each.wait = waitOf(*each.state, query.urgency, now);
+        each.cost = each.wait + chargesOf(*each.state, query, dates, now);
     }
     return result;
 }
@@ -252,9 +252,9 @@
     return static_cast<double>(mixBits(part ^ mixBits(nanos)) >> 11U) * Scale;
 }
 
-BackendTracker::Reading BackendTracker::readingAt(const State &engine, const State &home,
-                                                  const BackendQuery &query, const KeptStore *store,
-                                                  TimePoint now) const
+BackendTracker::PrefillPlan BackendTracker::planPrefill(const State &engine, const State &home,
+                                                        const BackendQuery &query,
+                                                        const KeptStore *store, TimePoint now) const
 {
     const PartHolders::Question question{query.partKey(), weightsOf(engine, query.model),
                                          query.sharedTokens, query.memoryTokens};
@@ -265,13 +265,13 @@
     // to prefill it: no penalty.
     const bool isHome = &engine == &home || weightsOf(home, query.model) < question.weights;
     const auto shared = static_cast<double>(query.sharedTokens);
-    Reading reading;
-    reading.tokens = static_cast<double>(query.ownTokens);
-    reading.time = prefillTime(engine, reading.tokens, now);
+    PrefillPlan plan;
+    plan.tokens = static_cast<double>(query.ownTokens);
+    plan.time = prefillTime(engine, plan.tokens, now);
     const Millis sharedTime = prefillTime(engine, shared, now);
-    reading.isHeld = m_holders.holds(question, engine.hash, now);
+    plan.isCached = m_holders.holds(question, engine.hash, now);
     if (store != nullptr && !isKept && query.kept->state(store->endpoint) != KeptCacheState::Down) {
-        reading.saveTo = store->endpoint;
+        plan.saveTo = store->endpoint;
     }
     // Engines transfer faster than a store, whose single link is shared by many engines.
     const State *holder = holderBeside(engine, question, query, now);
@@ -280,29 +280,29 @@
                           && m_fetches.allows(storeName, m_costs.keptTokensPerMs,
                                               drawFor(question.part, now), now);
     if (holder != nullptr) {
-        reading.fetchFrom = holder->entry.endpoint;
+        plan.fetchFrom = holder->entry.endpoint;
     } else if (mayFetch) {
-        reading.fetchFrom = store->endpoint;
+        plan.fetchFrom = store->endpoint;
     }
-    if (reading.isHeld) {
-        return reading; // a fetch transfers only what was evicted meanwhile
+    if (plan.isCached) {
+        return plan; // a fetch transfers only what was evicted meanwhile
     }
-    reading.store = isKept && holder == nullptr ? storeName : 0;
+    plan.store = isKept && holder == nullptr ? storeName : 0;
     if (holder != nullptr) {
-        reading.charge = m_costs.copyPenalty * sharedTime;
-        reading.time += FetchSetup + Millis(shared / m_costs.engineTokensPerMs);
-        return reading;
+        plan.charge = m_costs.copyPenalty * sharedTime;
+        plan.time += FetchSetup + Millis(shared / m_costs.engineTokensPerMs);
+        return plan;
     }
-    reading.charge = isHome ? Millis::zero() : m_costs.nonPreferredPenalty * sharedTime;
+    plan.charge = isHome ? Millis::zero() : m_costs.nonPreferredPenalty * sharedTime;
     if (mayFetch) {
         constexpr double AcrossCentres = 2;
         const double far = store->dataCentre == engine.entry.dataCentre ? 1 : AcrossCentres;
-        reading.time += FetchSetup + Millis(far * shared / m_costs.keptTokensPerMs);
+        plan.time += FetchSetup + Millis(far * shared / m_costs.keptTokensPerMs);
     } else {
-        reading.tokens += shared;
-        reading.time += sharedTime;
+        plan.tokens += shared;
+        plan.time += sharedTime;
     }
-    return reading;
+    return plan;
 }
 
 tl::expected<BackendChoice, NoBackend> BackendTracker::choose(const BackendQuery &query,
@@ -318,12 +318,12 @@
     NoBackend none{true, now + LongestClose};
     std::optional<BackendChoice> chosen = best(query, weigh(query, dates, 0, now, &none), now);
     const Millis mostWait = m_costs.maxWaitFraction * Millis(query.target);
-    if (!chosen || chosen->waits > mostWait) {
+    if (!chosen || chosen->wait > mostWait) {
         // The request would be refused: other servers may be free, though they prefill more of it.
         Weighed wider = weigh(query, dates, m_costs.candidateCount, now, &none);
         const auto crowded =
                 std::partition(wider.open.begin(), wider.open.end(),
-                               [&](const Candidate &each) { return each.waits <= mostWait; });
+                               [&](const Candidate &each) { return each.wait <= mostWait; });
         if (crowded != wider.open.begin()) {
             wider.open.erase(crowded, wider.open.end());
         }
@@ -342,9 +342,10 @@
     if (open.empty()) {
         return std::nullopt;
     }
-    const bool hasHome = query.hasHome();
-    const KeptStore *store =
-            hasHome && query.kept != nullptr ? query.kept->storeOf(weighed.homeCentre) : nullptr;
+    const bool hasPreferredEngine = query.hasPreferredEngine();
+    const KeptStore *store = hasPreferredEngine && query.kept != nullptr
+                                     ? query.kept->storeOf(weighed.homeCentre)
+                                     : nullptr;
     const auto home =
             std::max_element(open.begin(), open.end(), [](const Candidate &a, const Candidate &b) {
                 return a.order < b.order;
@@ -352,35 +353,35 @@
     BackendChoice best;
     const State *chosen = nullptr;
     for (const Candidate &engine : open) {
-        Reading reading;
-        if (hasHome) {
-            reading = readingAt(*engine.state, *home->state, query, store, now);
+        PrefillPlan plan;
+        if (hasPreferredEngine) {
+            plan = planPrefill(*engine.state, *home->state, query, store, now);
         } else {
-            reading.tokens = static_cast<double>(query.sharedTokens + query.ownTokens);
-            reading.time = prefillTime(*engine.state, reading.tokens, now);
+            plan.tokens = static_cast<double>(query.sharedTokens + query.ownTokens);
+            plan.time = prefillTime(*engine.state, plan.tokens, now);
         }
-        const Millis cost = engine.cost + reading.time + reading.charge;
+        const Millis cost = engine.cost + plan.time + plan.charge;
         if (chosen == nullptr || cost < best.cost) {
             chosen = engine.state;
-            best.isHeld = reading.isHeld;
-            best.fetchFrom = reading.fetchFrom;
-            best.saveTo = reading.saveTo;
-            best.store = reading.store;
+            best.isCached = plan.isCached;
+            best.fetchFrom = plan.fetchFrom;
+            best.saveTo = plan.saveTo;
+            best.store = plan.store;
             best.cost = cost;
-            best.reading = reading.time;
-            best.readTokens = reading.tokens;
+            best.prefill = plan.time;
+            best.prefillTokens = plan.tokens;
         }
     }
     best.chosenAt = now;
     best.urgency = query.urgency;
-    best.waits = waitOf(*chosen, query.urgency, now);
-    best.first = best.waits + best.reading + chosen->throughput->predict(0);
+    best.wait = waitOf(*chosen, query.urgency, now);
+    best.timeToFirstToken = best.wait + best.prefill + chosen->throughput->predict(0);
     best.tokensPerMs = chosen->throughput->tokensPerMs() / chosen->slowdown.factor(now);
-    best.isAlone =
+    best.hasNoBacklog =
             chosen->unanswered == 0
             && chosen->peerBacklog.ahead(PrefillBacklog::Urgencies - 1, now) <= Millis::zero()
             && (now - chosen->reportedAt > ReportLife || chosen->reportedWaiting == 0);
-    best.part = hasHome ? query.partKey() : 0;
+    best.part = hasPreferredEngine ? query.partKey() : 0;
     best.sharedTokens = query.sharedTokens;
     best.backend = chosen->entry;
     best.weights = weightsOf(*chosen, query.model);
--- a/src/vanilladyke/policy/backend_fleet_test.cpp
+++ b/src/vanilladyke/policy/backend_fleet_test.cpp
@@ -78,7 +78,7 @@
     static constexpr std::size_t Queue = 48;
 
     /// @return ms until its backlog is processed
-    [[nodiscard]] double waits(double now) const { return std::max(0.0, m_readUntil - now); }
+    [[nodiscard]] double wait(double now) const { return std::max(0.0, m_readUntil - now); }
 
     [[nodiscard]] bool holds(int part) const
     {
@@ -289,12 +289,12 @@
                    const TrialEngine &engine, bool isLong)
     {
         const WaitTerms terms{query.target, at(ms) + std::chrono::seconds(4)};
-        if (!refusedUntil(terms, choice.waits, at(ms))) {
+        if (!refusedUntil(terms, choice.wait, at(ms))) {
             return false;
         }
         ++(isLong ? m_result.refusedLongs : m_result.refusedShorts);
         const double most = terms.mostPart * Millis(query.target).count();
-        m_result.falselyRefused += engine.waits(ms) < most ? 1 : 0;
+        m_result.falselyRefused += engine.wait(ms) < most ? 1 : 0;
         return true;
     }
 
--- a/src/vanilladyke/policy/backend_slots_test.cpp
+++ b/src/vanilladyke/policy/backend_slots_test.cpp
@@ -177,7 +177,7 @@
         query.target = milliseconds(static_cast<int>(TargetMs));
         const auto choice = m_nodes[request.node].choose(query, at(ms));
         const WaitTerms terms{query.target, at(ms) + std::chrono::seconds(6)};
-        if (!choice || refusedUntil(terms, choice->waits, at(ms))) {
+        if (!choice || refusedUntil(terms, choice->wait, at(ms))) {
             ++m_outcome.refused;
             return;
         }
--- a/src/vanilladyke/policy/backend_tracker.cpp
+++ b/src/vanilladyke/policy/backend_tracker.cpp
@@ -56,7 +56,7 @@
     return known == m_throughputs.end() ? unknown : known->second;
 }
 
-std::uint64_t BackendTracker::leastHomeTokens(const ServiceId &service) const
+std::uint64_t BackendTracker::minPreferredTokens(const ServiceId &service) const
 {
     const double tokens = m_costs.minPreferredPrefill.count() * throughputOf(service).tokensPerMs();
     return static_cast<std::uint64_t>(tokens);
@@ -242,8 +242,8 @@
     if (state.unanswered++ == 0) {
         state.silentSince = now;
     }
-    state.backlog.add(choice.urgency, choice.reading);
-    if (!query.hasHome()) {
+    state.backlog.add(choice.urgency, choice.prefill);
+    if (!query.hasPreferredEngine()) {
         return;
     }
     PlacementUpdate update{query.partKey(), state.hash, choice.weights, 0, query.ownTokens, 0, 0};
@@ -251,7 +251,7 @@
         const std::string salt = cacheSalt(query.model, choice.weights, query.isolated);
         update.saved = KeptCacheView::keyOf(salt, query.sharedPart);
     }
-    if (!choice.isHeld) {
+    if (!choice.isCached) {
         update.written += query.sharedTokens;
         update.store = choice.store;
         update.wanted = choice.store == 0 ? 0 : query.sharedTokens;
@@ -265,7 +265,7 @@
 void BackendTracker::waitsNoMore(State &state, const BackendChoice &choice)
 {
     state.unanswered = std::max(0, state.unanswered - 1);
-    state.backlog.remove(choice.urgency, choice.reading);
+    state.backlog.remove(choice.urgency, choice.prefill);
     if (state.unanswered == 0) {
         state.backlog = {};
     }
@@ -281,13 +281,13 @@
     waitsNoMore(state, choice);
     state.silentSince = now;
     state.begunAt.push_back(now);
-    if (choice.isAlone && choice.readTokens > 0) {
+    if (choice.hasNoBacklog && choice.prefillTokens > 0) {
         const Millis took = now - choice.chosenAt;
         if (m_costs.learnsSlowdown) {
-            state.slowdown.observed(took / state.throughput->predict(choice.readTokens), now);
+            state.slowdown.observed(took / state.throughput->predict(choice.prefillTokens), now);
         }
         if (m_costs.learnsThroughput) {
-            state.throughput->observed(choice.readTokens, took);
+            state.throughput->observed(choice.prefillTokens, took);
         }
     }
 }
@@ -326,12 +326,12 @@
     }
     const Millis ran = now - state.begunAt.front();
     state.begunAt.pop_front();
-    if (choice.isAlone) {
+    if (choice.hasNoBacklog) {
         state.slotTimes->observed(now - choice.chosenAt);
-    } else if (choice.readTokens > 0) {
+    } else if (choice.prefillTokens > 0) {
         // The wait before the prefill is not part of the slot time. For a plain call the work
         // precedes the first byte and cannot be told from waiting.
-        state.slotTimes->observed(ran + choice.reading);
+        state.slotTimes->observed(ran + choice.prefill);
     }
 }
 
--- a/src/vanilladyke/policy/backend_tracker_test.cpp
+++ b/src/vanilladyke/policy/backend_tracker_test.cpp
@@ -94,10 +94,10 @@
     for (int i = 0; i < 2 * Slots; ++i) {
         tracker.sent(*tracker.choose(call, at(200'000)), call, at(200'000));
     }
-    const Millis waits = tracker.choose(call, at(200'000))->waits;
+    const Millis wait = tracker.choose(call, at(200'000))->wait;
     constexpr int Ahead = Slots + 1;
-    EXPECT_GT(waits, Millis(Ahead * CallMs / Slots) * 0.8);
-    EXPECT_LT(waits, Millis(Ahead * CallMs / Slots) * 1.3);
+    EXPECT_GT(wait, Millis(Ahead * CallMs / Slots) * 0.8);
+    EXPECT_LT(wait, Millis(Ahead * CallMs / Slots) * 1.3);
 }
 
 // Guards against nodes without any cache updates choosing different engines for a shared part, each
@@ -178,9 +178,9 @@
     for (int i = 0; i < 4; ++i) {
         tracker.sent(*home, longPrompt(1), at(i));
     }
-    BackendChoice reading = *home;
-    reading.reading = Millis(150);
-    tracker.sent(reading, longPrompt(1), at(4));
+    BackendChoice queued = *home;
+    queued.prefill = Millis(150);
+    tracker.sent(queued, longPrompt(1), at(4));
     const auto next = tracker.choose(shortPrompt(3), at(5));
     ASSERT_TRUE(next);
     EXPECT_NE(next->backend.id, home->backend.id);
@@ -199,12 +199,12 @@
     ASSERT_TRUE(home);
     BackendChoice waiting = *home;
     waiting.urgency = 4;
-    waiting.reading = Millis(2000);
+    waiting.prefill = Millis(2000);
     tracker.sent(waiting, longPrompt(1), at(0));
     const auto urgent = tracker.choose(check, at(1));
     ASSERT_TRUE(urgent);
     EXPECT_EQ(urgent->backend.id, home->backend.id);
-    EXPECT_LT(urgent->waits, Millis(10));
+    EXPECT_LT(urgent->wait, Millis(10));
     check.urgency = 4;
     EXPECT_NE(tracker.choose(check, at(1))->backend.id, home->backend.id);
 }
@@ -216,7 +216,7 @@
     BackendTracker tracker(hereCentre, {});
     tracker.setBackends(fleet(18));
     BackendQuery query = longPrompt(0);
-    query.homePart = "beginning";
+    query.preferencePart = "beginning";
     const auto first = tracker.choose(query, at(0));
     ASSERT_TRUE(first);
     for (int part = 1; part < 20; ++part) {
@@ -430,7 +430,7 @@
     EXPECT_EQ(next->fetchFrom, home->backend.endpoint);
     const BackendQuery whole = longPrompt(1);
     const auto tokens = static_cast<double>(whole.sharedTokens + whole.ownTokens);
-    EXPECT_LT(next->reading, 0.33 * there.throughputOf(llmService).prefillTime(tokens));
+    EXPECT_LT(next->prefill, 0.33 * there.throughputOf(llmService).prefillTime(tokens));
 }
 
 // Guards against concentrating prompts that share fifty tokens with a fifth of all others on one
--- a/src/vanilladyke/traffic/exchange.cpp
+++ b/src/vanilladyke/traffic/exchange.cpp
@@ -198,7 +198,7 @@
     BackendQuery result;
     result.service = m_service;
     result.model = m_request.model;
-    result.leastHomeTokens = m_state.book.leastHomeTokens(m_service);
+    result.minPreferredTokens = m_state.book.minPreferredTokens(m_service);
     result.target = m_route->targetLatency;
     result.urgency = urgency();
     result.exclude = m_tried;
@@ -214,7 +214,7 @@
             shared += m_request.parts[i].tokens;
         }
         if (m_state.settings.rates.prefersByCommonBeginning) {
-            result.homePart = homePart(m_request.parts, shared);
+            result.preferencePart = homePart(m_request.parts, shared);
         }
         result.sharedPart = m_request.parts[m_request.parts.size() - 2].id;
         if (m_customer != nullptr && m_customer->isIsolated) {
@@ -242,7 +242,7 @@
         return std::nullopt;
     }
     const double most = m_state.settings.rates.maxWaitFraction;
-    return refusedUntil({m_route->targetLatency, m_deadline, most}, choice.waits, now);
+    return refusedUntil({m_route->targetLatency, m_deadline, most}, choice.wait, now);
 }
 
 SendTerms Exchange::termsFor(const BackendChoice &choice) const
