--- a/include/vanilladyke/policy/backend_tracker.hpp
+++ b/include/vanilladyke/policy/backend_tracker.hpp
@@ -43,7 +43,7 @@
 namespace vanilladyke {
 
 /// @brief Weights that the operator announced for a model.
-struct NamedWeights
+struct AnnouncedWeights
 {
     ModelId model;
     WeightsDate date;
@@ -85,9 +85,9 @@
     void setTransferRates(const TransferRates &rates);
     /// @brief New weights were announced, or the time of an announcement was learned.
     /// @return whether the recorded dates changed
-    bool weightsNamed(const NamedWeights &weights, DateGrounds grounds, TimePoint now);
+    bool weightsAnnounced(const AnnouncedWeights &weights, DateGrounds grounds, TimePoint now);
     /// @brief The announcements that may be sent to other nodes.
-    [[nodiscard]] std::vector<NamedWeights> namedWeights() const;
+    [[nodiscard]] std::vector<AnnouncedWeights> announcedWeights() const;
 
     [[nodiscard]] tl::expected<BackendChoice, NoBackend> choose(const BackendQuery &query,
                                                                 TimePoint now) const;
@@ -102,20 +102,21 @@
     /// @brief Records the end of the exchange. @param failed by a fault of the server
     void ended(const BackendChoice &choice, bool hadBegun, bool failed, TimePoint now);
     /// @brief Excludes the server for a while: no connection, or it sheds load.
-    void close(const EngineId &id, TimePoint now);
+    void exclude(const EngineId &id, TimePoint now);
     void reported(const EngineId &id, int running, int waiting, TimePoint now);
     /// @brief Records the rate limit that an answer of the server carried, for all nodes together;
     /// none: no limit.
     /// @return whether the limit changed
-    bool limitNamed(const EngineId &id, std::optional<double> perSecond, TimePoint now);
+    bool limitObserved(const EngineId &id, std::optional<double> perSecond, TimePoint now);
     /// @brief Records the version of the weights that an answer carried.
-    void sawWeights(const EngineId &id, const ModelId &model, std::uint64_t version);
+    void weightsObserved(const EngineId &id, const ModelId &model, std::uint64_t version);
     /// @brief Records that the server refused a request because of the recorded version.
-    void doubtWeights(const EngineId &id, const ModelId &model, TimePoint now);
+    void weightsRefused(const EngineId &id, const ModelId &model, TimePoint now);
     /// @brief Records that this node ordered a load of new weights, with its predicted end.
-    void loading(const EngineId &id, TimePoint until);
+    void startedLoading(const EngineId &id, TimePoint until);
     /// @brief Records the end of a load that this node ordered.
-    void loaded(const EngineId &id, const ModelId &model, std::uint64_t version, TimePoint now);
+    void finishedLoading(const EngineId &id, const ModelId &model, std::uint64_t version,
+                         TimePoint now);
 
     /// @brief Load updates to send, the servers with the longest backlog first.
     [[nodiscard]] std::vector<BackendLoadUpdate> ownLoad(std::size_t most, TimePoint now) const;
@@ -128,7 +129,7 @@
     [[nodiscard]] std::optional<double> limitOf(const EngineId &id) const;
     /// @brief Whether the server's limit still has capacity; other requests may have used it since
     /// the selection.
-    [[nodiscard]] bool hasRoom(const EngineId &id, TimePoint now) const;
+    [[nodiscard]] bool hasCapacity(const EngineId &id, TimePoint now) const;
     [[nodiscard]] std::size_t limitedEngines() const;
     /// @brief Placement updates since the last call.
     [[nodiscard]] std::vector<PlacementUpdate> takePlacements();
@@ -149,7 +150,7 @@
     [[nodiscard]] std::uint64_t minPreferredTokens(const ServiceId &service) const;
     [[nodiscard]] int inFlight(const EngineId &id) const;
     [[nodiscard]] std::size_t size() const { return m_states.size(); }
-    [[nodiscard]] bool knows(const EngineId &id) const { return m_states.contains(id); }
+    [[nodiscard]] bool contains(const EngineId &id) const { return m_states.contains(id); }
 
 private:
     struct State
--- a/include/vanilladyke/policy/fleet_retry_budget.hpp
+++ b/include/vanilladyke/policy/fleet_retry_budget.hpp
@@ -34,7 +34,7 @@
     /// checked later.
     static constexpr double Margin = 0.8;
 
-    void setTerms(const FleetRetryLimits &limits) { m_limits = limits; }
+    void setLimits(const FleetRetryLimits &limits) { m_limits = limits; }
     /// @brief Sets the number of nodes among which the extra is divided.
     void setNodes(std::size_t nodes) { m_limits.nodes = nodes; }
     void countRequest(const ServiceId &service, TimePoint now);
--- a/include/vanilladyke/policy/kept_cache_view.hpp
+++ b/include/vanilladyke/policy/kept_cache_view.hpp
@@ -63,7 +63,7 @@
     void changed(const Endpoint &store, const std::string &salt, const std::string &part,
                  std::uint64_t tokens);
     /// @brief Records that a node saves the part with this key.
-    void toldSaved(std::uint64_t key, TimePoint now);
+    void recordSaved(std::uint64_t key, TimePoint now);
     [[nodiscard]] KeptCacheState state(const Endpoint &store) const;
     /// @brief Whether the part is predicted to be in the store.
     [[nodiscard]] bool holds(const Endpoint &store, const std::string &salt,
--- a/include/vanilladyke/traffic/traffic_state.hpp
+++ b/include/vanilladyke/traffic/traffic_state.hpp
@@ -64,7 +64,7 @@
 
     /// @brief Takes in when weights were named, and logs it if that is news.
     /// @param by who told, for the log
-    void dateWeights(const NamedWeights &weights, DateGrounds grounds, std::string_view by);
+    void dateWeights(const AnnouncedWeights &weights, DateGrounds grounds, std::string_view by);
 
     asio::io_context &context;
     Ticker ticker;
--- a/src/vanilladyke/app/node_command.cpp
+++ b/src/vanilladyke/app/node_command.cpp
@@ -73,7 +73,7 @@
         FleetRetryLimits terms = settings.control.secondSends;
         terms.nodes = NodesBeforeTheList;
         m_traffic.nodes = NodesBeforeTheList;
-        m_traffic.budget.setTerms(terms);
+        m_traffic.budget.setLimits(terms);
     }
 
     int run()
@@ -197,7 +197,7 @@
         m_traffic.quarantine.setFreed(settings->traffic.freedRequests);
         FleetRetryLimits terms = settings->control.secondSends;
         terms.nodes = m_traffic.nodes;
-        m_traffic.budget.setTerms(terms);
+        m_traffic.budget.setLimits(terms);
         LogEvent("reload").field("path", m_path).field("needs_start", needsStart);
     }
 
--- a/src/vanilladyke/node/control_plane.cpp
+++ b/src/vanilladyke/node/control_plane.cpp
@@ -43,19 +43,19 @@
     WeightsNews news;
     news.loading = [this](const EngineId &id, Duration span) {
         tell([id, span](TrafficState &traffic) {
-            traffic.book.loading(id, MonotonicClock::now() + span);
+            traffic.book.startedLoading(id, MonotonicClock::now() + span);
             traffic.tellPeers();
         });
     };
     news.loaded = [this](const EngineId &id, const ModelId &model, std::uint64_t version) {
         tell([id, model, version](TrafficState &traffic) {
-            traffic.book.loaded(id, model, version, MonotonicClock::now());
+            traffic.book.finishedLoading(id, model, version, MonotonicClock::now());
             traffic.tellPeers();
         });
     };
     news.aged = [this](const WeightsAge &weights) {
         const TimePoint knownAt = MonotonicClock::now() - weights.age;
-        const NamedWeights named{weights.model, {weights.version, knownAt, knownAt}};
+        const AnnouncedWeights named{weights.model, {weights.version, knownAt, knownAt}};
         tell([named](TrafficState &traffic) {
             traffic.dateWeights(named, DateGrounds::Told, "lease");
         });
@@ -128,7 +128,7 @@
     // Taken here: the traffic thread may come to it late.
     const TimePoint now = MonotonicClock::now();
     if (age) {
-        const NamedWeights named{model, {version, now - *age, now}};
+        const AnnouncedWeights named{model, {version, now - *age, now}};
         tell([named](TrafficState &traffic) {
             traffic.dateWeights(named, DateGrounds::Read, "record");
         });
@@ -137,7 +137,7 @@
     // A node that has just started can't tell how long ago; half of the time allowed is a guess
     // that neither closes all engines on older weights at once nor keeps them open too long.
     const TimePoint guess = now - m_traffic.settings.rates.oldWeightsPeriod / 2;
-    const NamedWeights named{model, {version, guess, guess}};
+    const AnnouncedWeights named{model, {version, guess, guess}};
     tell([named](TrafficState &traffic) {
         traffic.dateWeights(named, DateGrounds::Guess, "guess");
     });
@@ -198,7 +198,7 @@
     terms.nodes = std::max<std::size_t>(peers.size(), 1);
     tell([terms, peers = std::move(peers)](TrafficState &traffic) {
         traffic.nodes = terms.nodes;
-        traffic.budget.setTerms(terms);
+        traffic.budget.setLimits(terms);
         if (traffic.peersChanged) {
             traffic.peersChanged(peers);
         }
@@ -235,7 +235,7 @@
 {
     tell([serving = m_roster.serving()](TrafficState &traffic) {
         traffic.book.setBackends(serving);
-        traffic.pool.tidy([&](const EngineId &id) { return traffic.book.knows(id); },
+        traffic.pool.tidy([&](const EngineId &id) { return traffic.book.contains(id); },
                           MonotonicClock::now());
     });
 }
--- a/src/vanilladyke/node/load_sharing.cpp
+++ b/src/vanilladyke/node/load_sharing.cpp
@@ -39,7 +39,7 @@
     return static_cast<std::uint32_t>(std::max<std::int64_t>(count, 0));
 }
 
-void write(const NamedWeights &weights, TimePoint now, wire::NamedWeights *out)
+void write(const AnnouncedWeights &weights, TimePoint now, wire::NamedWeights *out)
 {
     out->set_model(weights.model.str());
     out->set_version(weights.date.version);
@@ -48,7 +48,7 @@
     out->set_known_age_ms(millis(std::min(now - weights.date.knownAt, OldestTold)));
 }
 
-NamedWeights read(const wire::NamedWeights &weights, TimePoint now)
+AnnouncedWeights read(const wire::NamedWeights &weights, TimePoint now)
 {
     return {ModelId(weights.model()),
             {weights.version(), now - std::chrono::milliseconds(weights.named_age_ms()),
@@ -182,7 +182,7 @@
     message.set_operator_next(m_state.operatorNext());
     if (now >= m_weightsToldAt + TellWeightsEvery) {
         m_weightsToldAt = now;
-        for (const NamedWeights &each : m_state.book.namedWeights()) {
+        for (const AnnouncedWeights &each : m_state.book.announcedWeights()) {
             write(each, now, message.add_named_weights());
         }
     }
@@ -290,7 +290,7 @@
         placements.push_back({each.part(), each.backend(), each.weights(), each.saved(),
                               each.written(), each.store(), each.wanted()});
         if (each.saved() != 0) {
-            m_state.kept.toldSaved(each.saved(), now);
+            m_state.kept.recordSaved(each.saved(), now);
         }
     }
     m_state.book.receivedPlacements(placements, now);
--- a/src/vanilladyke/policy/backend_fleet_test.cpp
+++ b/src/vanilladyke/policy/backend_fleet_test.cpp
@@ -236,7 +236,7 @@
                     m_nodes[to].receivedPlacements(placements, at(ms));
                     for (const PlacementUpdate &each : placements) {
                         if (each.saved != 0) {
-                            m_kept[to].toldSaved(each.saved, at(ms));
+                            m_kept[to].recordSaved(each.saved, at(ms));
                         }
                     }
                 }
@@ -275,7 +275,7 @@
             }
             if (engine.open >= static_cast<int>(TrialEngine::Slots + TrialEngine::Queue)) {
                 ++m_result.shed;
-                m_nodes[node].close(choice->backend.id, at(ms));
+                m_nodes[node].exclude(choice->backend.id, at(ms));
                 query.exclude.push_back(choice->backend.id);
                 continue;
             }
@@ -315,7 +315,7 @@
             engine.keep(part, shared);
             engine.keep(--m_ownPart, tokens);
             if (choice.saveTo) {
-                m_kept[node].toldSaved(
+                m_kept[node].recordSaved(
                         KeptCacheView::keyOf(cacheSalt(llmModel, 1, {}), query.sharedPart), at(ms));
                 m_inStore[choice.saveTo->port].insert(part);
             }
--- a/src/vanilladyke/policy/backend_tracker.cpp
+++ b/src/vanilladyke/policy/backend_tracker.cpp
@@ -68,7 +68,7 @@
     return found == m_states.end() ? nullptr : &found->second;
 }
 
-void BackendTracker::loading(const EngineId &id, TimePoint until)
+void BackendTracker::startedLoading(const EngineId &id, TimePoint until)
 {
     if (State *state = find(id)) {
         state->loadingUntil = until;
@@ -76,8 +76,8 @@
     }
 }
 
-void BackendTracker::loaded(const EngineId &id, const ModelId &model, std::uint64_t version,
-                            TimePoint now)
+void BackendTracker::finishedLoading(const EngineId &id, const ModelId &model,
+                                     std::uint64_t version, TimePoint now)
 {
     if (State *state = find(id)) {
         learnWeights(*state, model, version);
@@ -196,14 +196,15 @@
     });
 }
 
-bool BackendTracker::weightsNamed(const NamedWeights &weights, DateGrounds grounds, TimePoint now)
+bool BackendTracker::weightsAnnounced(const AnnouncedWeights &weights, DateGrounds grounds,
+                                      TimePoint now)
 {
     return m_weightsDates[weights.model].add(weights.date, grounds, now, m_costs.oldWeightsPeriod);
 }
 
-std::vector<NamedWeights> BackendTracker::namedWeights() const
+std::vector<AnnouncedWeights> BackendTracker::announcedWeights() const
 {
-    std::vector<NamedWeights> result;
+    std::vector<AnnouncedWeights> result;
     for (const auto &[model, dates] : m_weightsDates) {
         for (const WeightsDate &date : dates.toTell()) {
             result.push_back({model, date});
@@ -335,7 +336,7 @@
     }
 }
 
-void BackendTracker::close(const EngineId &id, TimePoint now)
+void BackendTracker::exclude(const EngineId &id, TimePoint now)
 {
     State *const known = find(id);
     if (known == nullptr) {
@@ -359,7 +360,8 @@
     state.reportedAt = now;
 }
 
-bool BackendTracker::limitNamed(const EngineId &id, std::optional<double> perSecond, TimePoint now)
+bool BackendTracker::limitObserved(const EngineId &id, std::optional<double> perSecond,
+                                   TimePoint now)
 {
     State *const known = find(id);
     return known != nullptr && known->limit.observed(perSecond, now);
@@ -397,7 +399,7 @@
     return known == m_states.end() ? std::nullopt : known->second.limit.perSecond();
 }
 
-bool BackendTracker::hasRoom(const EngineId &id, TimePoint now) const
+bool BackendTracker::hasCapacity(const EngineId &id, TimePoint now) const
 {
     const auto known = m_states.find(id);
     return known == m_states.end() || !m_costs.enforcesLimits || known->second.limit.allows(0, now);
@@ -411,14 +413,15 @@
             }));
 }
 
-void BackendTracker::sawWeights(const EngineId &id, const ModelId &model, std::uint64_t version)
+void BackendTracker::weightsObserved(const EngineId &id, const ModelId &model,
+                                     std::uint64_t version)
 {
     if (State *state = find(id)) {
         learnWeights(*state, model, version);
     }
 }
 
-void BackendTracker::doubtWeights(const EngineId &id, const ModelId &model, TimePoint now)
+void BackendTracker::weightsRefused(const EngineId &id, const ModelId &model, TimePoint now)
 {
     State *const state = find(id);
     if (state == nullptr) {
@@ -430,7 +433,7 @@
         learnWeights(*state, model, newest);
         return;
     }
-    close(id, now);
+    exclude(id, now);
 }
 
 std::uint64_t BackendTracker::hashOf(const EngineId &id)
--- a/src/vanilladyke/policy/backend_tracker_test.cpp
+++ b/src/vanilladyke/policy/backend_tracker_test.cpp
@@ -62,14 +62,14 @@
 {
     BackendTracker tracker(hereCentre, {});
     tracker.setBackends(fleet(1));
-    EXPECT_TRUE(tracker.limitNamed(EngineId("e0"), 2, at(0)));
+    EXPECT_TRUE(tracker.limitObserved(EngineId("e0"), 2, at(0)));
     EXPECT_FALSE(tracker.choose(shortPrompt(1), at(10)));
     const auto first = tracker.choose(shortPrompt(1), at(600));
     const auto second = tracker.choose(shortPrompt(2), at(600));
     ASSERT_TRUE(first && second);
-    EXPECT_TRUE(tracker.hasRoom(EngineId("e0"), at(601)));
+    EXPECT_TRUE(tracker.hasCapacity(EngineId("e0"), at(601)));
     tracker.sent(*first, shortPrompt(1), at(601));
-    EXPECT_FALSE(tracker.hasRoom(EngineId("e0"), at(602)));
+    EXPECT_FALSE(tracker.hasCapacity(EngineId("e0"), at(602)));
     EXPECT_EQ(tracker.limitedEngines(), 1U);
 }
 
@@ -137,7 +137,7 @@
     }
     for (BackendTracker *tracker : {&one, &two}) {
         tracker->setBackends(entries);
-        tracker->weightsNamed({llmModel, {2, at(0), at(0)}}, DateGrounds::Read, at(0));
+        tracker->weightsAnnounced({llmModel, {2, at(0), at(0)}}, DateGrounds::Read, at(0));
     }
     for (int part = 0; part < 100; ++part) {
         const auto first = one.choose(longPrompt(part), at(5000));
@@ -267,8 +267,8 @@
     auto entries = fleet(2, 1);
     entries[1].weights[llmModel] = 2;
     tracker.setBackends(entries);
-    tracker.weightsNamed({llmModel, {2, at(0), at(0)}}, DateGrounds::Read, at(0));
-    tracker.weightsNamed({llmModel, {3, at(8000), at(8000)}}, DateGrounds::Read, at(8000));
+    tracker.weightsAnnounced({llmModel, {2, at(0), at(0)}}, DateGrounds::Read, at(0));
+    tracker.weightsAnnounced({llmModel, {3, at(8000), at(8000)}}, DateGrounds::Read, at(8000));
     for (int part = 0; part < 20; ++part) {
         const auto choice = tracker.choose(longPrompt(part), at(13'500));
         ASSERT_TRUE(choice);
@@ -282,9 +282,9 @@
 {
     BackendTracker tracker(hereCentre, {});
     tracker.setBackends(fleet(1, 1));
-    tracker.weightsNamed({llmModel, {2, at(0), at(0)}}, DateGrounds::Read, at(0));
+    tracker.weightsAnnounced({llmModel, {2, at(0), at(0)}}, DateGrounds::Read, at(0));
     EXPECT_TRUE(tracker.choose(longPrompt(1), at(5000)));
-    tracker.weightsNamed({llmModel, {2, at(-9000), at(-9000)}}, DateGrounds::Told, at(5000));
+    tracker.weightsAnnounced({llmModel, {2, at(-9000), at(-9000)}}, DateGrounds::Told, at(5000));
     EXPECT_FALSE(tracker.choose(longPrompt(1), at(5000)));
 }
 
@@ -292,7 +292,7 @@
 {
     BackendTracker tracker(hereCentre, {});
     tracker.setBackends(fleet(1));
-    tracker.close(EngineId("e0"), at(0));
+    tracker.exclude(EngineId("e0"), at(0));
     const auto none = tracker.choose(shortPrompt(1), at(10));
     ASSERT_FALSE(none);
     EXPECT_TRUE(none.error().isKnown);
@@ -308,8 +308,8 @@
 {
     BackendTracker tracker(hereCentre, {});
     tracker.setBackends(fleet(1, 1));
-    tracker.weightsNamed({llmModel, {2, at(0), at(0)}}, DateGrounds::Read, at(0));
-    tracker.doubtWeights(EngineId("e0"), llmModel, at(10));
+    tracker.weightsAnnounced({llmModel, {2, at(0), at(0)}}, DateGrounds::Read, at(0));
+    tracker.weightsRefused(EngineId("e0"), llmModel, at(10));
     EXPECT_EQ(tracker.choose(shortPrompt(1), at(20))->weights, 2U);
 }
 
@@ -362,7 +362,7 @@
     BackendTracker orderer(hereCentre, {});
     std::vector<BackendTracker> others(6, BackendTracker(hereCentre, {}));
     orderer.setBackends(fleet(1));
-    orderer.loading(engine, at(2000));
+    orderer.startedLoading(engine, at(2000));
     for (BackendTracker &each : others) {
         each.setBackends(fleet(1));
         each.receivedLoad(100, orderer.ownLoad(10, at(0)), at(5));
@@ -390,7 +390,7 @@
     BackendTracker other(hereCentre, {});
     orderer.setBackends(fleet(1, 1));
     other.setBackends(fleet(1, 1));
-    orderer.loaded(EngineId("e0"), llmModel, 2, at(0));
+    orderer.finishedLoading(EngineId("e0"), llmModel, 2, at(0));
     other.receivedLoad(7, orderer.ownLoad(10, at(1)), at(1));
     EXPECT_EQ(other.choose(shortPrompt(1), at(2))->weights, 2U);
     EXPECT_TRUE(other.ownLoad(10, at(3)).empty()) << "received updates are not forwarded";
@@ -456,7 +456,7 @@
     BackendTracker orderer(hereCentre, {});
     here.setBackends(fleet(1));
     orderer.setBackends(fleet(1));
-    orderer.loading(EngineId("e0"), at(2000));
+    orderer.startedLoading(EngineId("e0"), at(2000));
     here.receivedLoad(7, {updateOf(orderer, EngineId("e0"), at(500))}, at(500));
     const auto none = here.choose(shortPrompt(1), at(600));
     ASSERT_FALSE(none);
--- a/src/vanilladyke/policy/fleet_retry_budget_test.cpp
+++ b/src/vanilladyke/policy/fleet_retry_budget_test.cpp
@@ -30,7 +30,7 @@
     std::vector<int> requests;
     std::vector<int> retries;
     for (auto &node : nodes) {
-        node.setTerms(limits);
+        node.setLimits(limits);
     }
     for (int ms = 0; ms < 60'000; ++ms) {
         const bool isBurst = ms > 20'000 && ms < 23'000;
@@ -57,7 +57,7 @@
 TEST(FleetRetryBudget, AQuietServiceMayUseTheExtra)
 {
     FleetRetryBudget budget;
-    budget.setTerms({0.2, 30, std::chrono::seconds(10), 3});
+    budget.setLimits({0.2, 30, std::chrono::seconds(10), 3});
     budget.countRequest(theService, at(0));
     int spent = 0;
     while (budget.spend(theService, at(1))) {
--- a/src/vanilladyke/policy/kept_cache_view.cpp
+++ b/src/vanilladyke/policy/kept_cache_view.cpp
@@ -76,7 +76,7 @@
     }
 }
 
-void KeptCacheView::toldSaved(std::uint64_t key, TimePoint now)
+void KeptCacheView::recordSaved(std::uint64_t key, TimePoint now)
 {
     if (m_told.size() >= MostParts) {
         std::erase_if(m_told, [now](const auto &item) { return now - item.second >= ToldLife; });
--- a/src/vanilladyke/policy/kept_cache_view_test.cpp
+++ b/src/vanilladyke/policy/kept_cache_view_test.cpp
@@ -42,7 +42,7 @@
 TEST(KeptCacheView, AStoreThatIsDownIsNotAsked)
 {
     KeptCacheView view = viewOf(KeptCacheState::Unknown);
-    view.toldSaved(KeptCacheView::keyOf("s", "p"), start);
+    view.recordSaved(KeptCacheView::keyOf("s", "p"), start);
     EXPECT_TRUE(view.holds(storeHere, "s", "p", start));
     view.reset(storeHere, KeptCacheState::Down);
     EXPECT_FALSE(view.holds(storeHere, "s", "p", start)) << "a request to it costs hundreds of ms";
@@ -55,7 +55,7 @@
 {
     KeptCacheView view = viewOf(KeptCacheState::Unknown);
     EXPECT_FALSE(view.holds(storeHere, "s", "p", start));
-    view.toldSaved(KeptCacheView::keyOf("s", "p"), start);
+    view.recordSaved(KeptCacheView::keyOf("s", "p"), start);
     EXPECT_TRUE(view.holds(storeHere, "s", "p", start));
     EXPECT_FALSE(view.holds(storeHere, "s", "p", start + KeptCacheView::ToldLife))
             << "it may have been evicted";
--- a/src/vanilladyke/traffic/exchange.cpp
+++ b/src/vanilladyke/traffic/exchange.cpp
@@ -308,7 +308,7 @@
 {
     const BackendConnectionPtr connection = co_await connectionTo(choice);
     if (connection == nullptr) {
-        m_state.book.close(choice.backend.id, MonotonicClock::now());
+        m_state.book.exclude(choice.backend.id, MonotonicClock::now());
         m_state.metrics.count("backend_unreached_total");
         co_return TryEnd::Unreached;
     }
@@ -317,7 +317,7 @@
         co_return TryEnd::Unreached;
     }
     const TimePoint now = MonotonicClock::now();
-    if (!m_state.book.hasRoom(choice.backend.id, now)) {
+    if (!m_state.book.hasCapacity(choice.backend.id, now)) {
         m_state.pool.giveBack(connection, std::nullopt, now);
         m_state.metrics.count("limit_taken_meanwhile_total");
         co_return TryEnd::Unreached;
@@ -343,7 +343,7 @@
     }
     if (choice.saveTo) {
         const std::string salt = cacheSalt(asked.model, choice.weights, asked.isolated);
-        m_state.kept.toldSaved(KeptCacheView::keyOf(salt, asked.sharedPart), now);
+        m_state.kept.recordSaved(KeptCacheView::keyOf(salt, asked.sharedPart), now);
     }
     const TryEnd end = co_await converse(choice, connection);
     m_connection.reset();
@@ -362,7 +362,7 @@
         m_exchange.apply(ExchangeEvent::ConnectionLost);
     }
     if (end == TryEnd::Lost && m_stalled) {
-        m_state.book.close(choice.backend.id, MonotonicClock::now());
+        m_state.book.exclude(choice.backend.id, MonotonicClock::now());
     }
     co_await noteEnd(choice, end, now);
     if (end != TryEnd::Delivered) {
@@ -391,7 +391,7 @@
                                && !m_timedOut && !m_stalled && !m_isWithdrawn;
     const EngineId &engine = choice.backend.id;
     const bool mayTell = isCutByServer && m_state.settings.quarantines && m_state.digester.isReady()
-                         && m_state.book.knows(engine)
+                         && m_state.book.contains(engine)
                          && !m_state.ends.wasKnownEnded(engine, sentAt);
     if (!mayTell) {
         co_return;
@@ -578,7 +578,7 @@
     if (head.load) {
         m_state.book.reported(id, head.load->running, head.load->waiting, now);
     }
-    if (head.status != 421 && m_state.book.limitNamed(id, head.requestsPerSecond, now)) {
+    if (head.status != 421 && m_state.book.limitObserved(id, head.requestsPerSecond, now)) {
         LogEvent("engine_limit")
                 .field("backend", id.str())
                 .field("per_second", head.requestsPerSecond.value_or(0))
@@ -588,16 +588,16 @@
         m_state.tellPeers();
     }
     if (head.weights && !m_request.model.empty()) {
-        m_state.book.sawWeights(id, m_request.model, *head.weights);
+        m_state.book.weightsObserved(id, m_request.model, *head.weights);
     }
     if (head.status == 421) {
         if (choice.weights != 0) {
-            m_state.book.doubtWeights(id, m_request.model, now);
+            m_state.book.weightsRefused(id, m_request.model, now);
         } else {
-            m_state.book.close(id, now);
+            m_state.book.exclude(id, now);
         }
     } else if (head.isNotExecuted) {
-        m_state.book.close(id, now);
+        m_state.book.exclude(id, now);
     }
 }
 
--- a/src/vanilladyke/traffic/exchange_test.cpp
+++ b/src/vanilladyke/traffic/exchange_test.cpp
@@ -145,7 +145,7 @@
         , m_acceptor(m_context, Tcp::endpoint(asio::ip::address_v4::loopback(), 0))
     {
         m_state.configAge = [this] { return m_age; };
-        m_state.budget.setTerms({0.2, 1000, std::chrono::seconds(10), 1});
+        m_state.budget.setLimits({0.2, 1000, std::chrono::seconds(10), 1});
         m_state.ticker.start();
         put(RequestKind::Safe, false);
     }
@@ -530,7 +530,7 @@
 TEST_F(ExchangeTest, ASlowServerIsWaitedForIfNoOtherOneMayBeAsked)
 {
     put(RequestKind::Stream, true, std::chrono::seconds(5), milliseconds(20));
-    m_state.budget.setTerms({0, 0, std::chrono::seconds(10), 1});
+    m_state.budget.setLimits({0, 0, std::chrono::seconds(10), 1});
     auto &slow = serve([](const SeenRequest &seen) {
         return ScriptedAnswer{streamHead(seen.fields.at("Id")) + eventChunk(1) + "0\r\n\r\n",
                               Then::KeepOpen, milliseconds(600)};
@@ -562,8 +562,8 @@
     const TimePoint now = MonotonicClock::now();
     constexpr Duration Left = milliseconds(2500); // open to choices, soon to be withdrawn from
     const TimePoint namedAt = now + Left - m_state.settings.rates.oldWeightsPeriod;
-    m_state.book.weightsNamed({model, {2, namedAt, namedAt}}, DateGrounds::Read, now);
-    m_state.book.loading(EngineId("e3"), now + Left / 2);
+    m_state.book.weightsAnnounced({model, {2, namedAt, namedAt}}, DateGrounds::Read, now);
+    m_state.book.startedLoading(EngineId("e3"), now + Left / 2);
     connect();
     send("POST /a/x HTTP/1.1\r\nHost: h\r\nKey: k\r\nModel: m\r\nId: 1\r\nContent-Length: "
          "2\r\n\r\nhi");
@@ -599,7 +599,7 @@
 
 TEST_F(ExchangeTest, SecondSendsStayWithinTheBudget)
 {
-    m_state.budget.setTerms({0, 0, std::chrono::seconds(10), 1});
+    m_state.budget.setLimits({0, 0, std::chrono::seconds(10), 1});
     serve(refused);
     auto &second = serve(good);
     EXPECT_EQ(ask("1"), 503);
--- a/src/vanilladyke/traffic/traffic_state.cpp
+++ b/src/vanilladyke/traffic/traffic_state.cpp
@@ -4,11 +4,11 @@
 
 namespace vanilladyke {
 
-void TrafficState::dateWeights(const NamedWeights &weights, DateGrounds grounds,
+void TrafficState::dateWeights(const AnnouncedWeights &weights, DateGrounds grounds,
                                std::string_view by)
 {
     const TimePoint now = MonotonicClock::now();
-    if (!book.weightsNamed(weights, grounds, now)) {
+    if (!book.weightsAnnounced(weights, grounds, now)) {
         return;
     }
     LogEvent("weights_dated")
