--- a/include/vanilladyke/policy/backend_choice.hpp
+++ b/include/vanilladyke/policy/backend_choice.hpp
@@ -44,7 +44,7 @@
     /// Servers with old weights are excluded after this time.
     Duration oldWeightsPeriod = std::chrono::milliseconds(15000);
     /// Number of servers evaluated for a request if the service has more than
-    /// BackendTracker::WholeUpTo.
+    /// BackendTracker::EvaluateAllUpTo.
     /// Without a preferred engine: the first servers of the node's own order.
     std::uint64_t candidateCount = 12;
     /// With one: the first engines of the part's rendezvous order.
--- a/include/vanilladyke/policy/backend_tracker.hpp
+++ b/include/vanilladyke/policy/backend_tracker.hpp
@@ -24,13 +24,14 @@
 /// - Short requests behind long ones: a waiting prompt only counts as backlog for requests that are
 ///   no more urgent.
 /// - Many nodes share the load: the load that other nodes report counts like this node's own. What
-///   an engine reports beyond that counts until the report is ReportLife old.
+///   an engine reports beyond that counts until the report is ReportLifetime old.
 /// - In large fleets load updates are half a second old. If all nodes evaluated all servers, all
 ///   would select the few that were idle then; each node therefore evaluates the first servers of
 ///   an order of its own.
 /// - All of these have a queue: further servers, drawn at random for this request, are evaluated
 ///   before it is refused. A new draw for each request spreads the excess over the fleet.
-/// - An engine that answers nothing while requests wait there is avoided after SilenceToAvoid. An
+/// - An engine that answers nothing while requests wait there is avoided after UnresponsiveAfter.
+/// An
 ///   engine that fails a fraction of its requests gets that fraction of
 ///   BackendCostParameters::failurePenalty as a penalty.
 /// - Engines of any speed: the prefill throughput of each service is learned from requests that met
@@ -53,24 +54,24 @@
 class BackendTracker
 {
 public:
-    static constexpr Duration ReportLife = std::chrono::milliseconds(1000);
+    static constexpr Duration ReportLifetime = std::chrono::milliseconds(1000);
     /// Delay before a retry if the service has no servers. A node that has just started reads the
     /// list of servers within some tens of milliseconds.
-    static constexpr Duration UnknownPause = std::chrono::milliseconds(25);
-    static constexpr Duration PeerLife = std::chrono::seconds(2);
-    static constexpr Duration SilenceToAvoid = std::chrono::milliseconds(450);
+    static constexpr Duration UnknownServiceRetryDelay = std::chrono::milliseconds(25);
+    static constexpr Duration PeerLifetime = std::chrono::seconds(2);
+    static constexpr Duration UnresponsiveAfter = std::chrono::milliseconds(450);
     /// Time of a transfer of cached work besides its bytes.
     static constexpr Millis FetchSetup{6};
     static constexpr Duration FailureHalfLife = std::chrono::seconds(3);
-    static constexpr Duration FirstClose = std::chrono::milliseconds(250);
-    static constexpr Duration LongestClose = std::chrono::seconds(2);
+    static constexpr Duration MinExclusion = std::chrono::milliseconds(250);
+    static constexpr Duration MaxExclusion = std::chrono::seconds(2);
     /// No penalty for old weights until this time after a node received the announcement of newer
     /// ones: an answer on the old ones still has its full value.
     static constexpr Duration OldWeightsGrace = std::chrono::milliseconds(800);
     /// Safety margin before the end of the period for old weights: updates arrive late, and clocks
     /// differ.
     static constexpr Duration OldWeightsMargin = std::chrono::milliseconds(1500);
-    static constexpr std::size_t WholeUpTo =
+    static constexpr std::size_t EvaluateAllUpTo =
             24; ///< up to this many servers of a service, all are evaluated
     static constexpr std::size_t MaxPendingPlacements = 400;
     /// How long a node reports weights that it loaded; repeated because datagrams may be lost.
@@ -138,7 +139,7 @@
     void receivedLoad(std::uint64_t node, const std::vector<BackendLoadUpdate> &updates,
                       TimePoint now);
     void receivedPlacements(const std::vector<PlacementUpdate> &updates, TimePoint now);
-    /// @brief Drops the load of nodes that have sent no update for PeerLife.
+    /// @brief Drops the load of nodes that have sent no update for PeerLifetime.
     void dropExpiredPeers(TimePoint now);
     /// @brief Hash that identifies the server in updates between nodes.
     [[nodiscard]] static std::uint64_t hashOf(const EngineId &id);
@@ -166,8 +167,8 @@
         /// Start times of own running requests, not matched to the ones that end.
         std::deque<TimePoint> begunAt;
         EngineSlowdown slowdown;
-        PrefillBacklog backlog; ///< predicted prefill time of own requests without a first token
-        TimePoint silentSince;  ///< start of the current wait without any answer
+        PrefillBacklog backlog;    ///< predicted prefill time of own requests without a first token
+        TimePoint unansweredSince; ///< start of the current wait without any answer
         int reportedRunning = 0;
         int reportedWaiting = 0;
         int ownAtReport = 0;
@@ -179,14 +180,14 @@
         /// End of a load that this node ordered; only such loads are sent to other nodes.
         TimePoint orderedUntil;
         TimePoint reportUntil; ///< end of reporting the weights that this node loaded
-        double failurePart = 0;
+        double failureFraction = 0;
         TimePoint failureAt;
-        TimePoint closedUntil;
-        Duration lastClose{};
+        TimePoint excludedUntil;
+        Duration lastExclusion{};
         EngineLimit limit;
     };
     /// Load of another node at a server.
-    struct PeerPart
+    struct PeerLoad
     {
         std::uint64_t backend = 0;
         PeerBacklog::Report report;
@@ -195,11 +196,11 @@
     struct Peer
     {
         TimePoint lastSeenAt;
-        std::vector<PeerPart> parts;
+        std::vector<PeerLoad> loads;
     };
     /// When a server that is unavailable for requests now may be available; none if it is
     /// available.
-    [[nodiscard]] std::optional<TimePoint> opensLater(const State &state, TimePoint now) const;
+    [[nodiscard]] std::optional<TimePoint> availableAt(const State &state, TimePoint now) const;
     /// A server that is evaluated for a request.
     struct Candidate
     {
@@ -212,7 +213,7 @@
     struct PrefillPlan
     {
         Millis time{};
-        Millis charge{};
+        Millis penalty{};
         bool isCached = false;
         std::optional<Endpoint> fetchFrom;
         std::optional<Endpoint> saveTo;
@@ -220,46 +221,48 @@
         double tokens = 0; ///< prefilled by the engine itself
     };
     /// The servers that are evaluated for a request.
-    struct Weighed
+    struct CandidateSet
     {
-        std::vector<Candidate> open;
-        DataCentreId homeCentre; ///< of the first engine of the part's order, available or not
+        std::vector<Candidate> available;
+        DataCentreId
+                preferredDataCentre; ///< of the first engine of the part's order, available or not
     };
 
     /// @param more number of servers to evaluate in addition to the usual ones
-    [[nodiscard]] Weighed weigh(const BackendQuery &query, const WeightsDates *dates,
-                                std::size_t more, TimePoint now, NoBackend *none) const;
+    [[nodiscard]] CandidateSet collectCandidates(const BackendQuery &query,
+                                                 const WeightsDates *dates, std::size_t more,
+                                                 TimePoint now, NoBackend *none) const;
     /// @return 0 if none were announced
     [[nodiscard]] std::uint64_t newestWeights(const ModelId &model) const;
     /// Keeps the first engines of the order, the first that have the newest weights, those that
     /// were sent the part, and `more` others that differ from request to request.
-    void keepHomes(const BackendQuery &query, std::size_t more, TimePoint now,
-                   std::vector<Candidate> *open) const;
-    [[nodiscard]] std::optional<BackendChoice> best(const BackendQuery &query,
-                                                    const Weighed &weighed, TimePoint now) const;
-    [[nodiscard]] DataCentreId homeCentre(const std::vector<const State *> &all,
-                                          std::uint64_t part) const;
-    [[nodiscard]] Millis waitOf(const State &state, int urgency, TimePoint now) const;
-    static void slotGivenBack(State &state, const BackendChoice &choice, TimePoint now);
+    void limitCandidates(const BackendQuery &query, std::size_t more, TimePoint now,
+                         std::vector<Candidate> *available) const;
+    [[nodiscard]] std::optional<BackendChoice>
+    best(const BackendQuery &query, const CandidateSet &candidates, TimePoint now) const;
+    [[nodiscard]] DataCentreId preferredDataCentre(const std::vector<const State *> &all,
+                                                   std::uint64_t part) const;
+    [[nodiscard]] Millis predictedWait(const State &state, int urgency, TimePoint now) const;
+    static void observeSlotTime(State &state, const BackendChoice &choice, TimePoint now);
     /// Removes a request from the backlog: its answer has begun, or will not.
-    static void waitsNoMore(State &state, const BackendChoice &choice);
-    [[nodiscard]] Millis chargesOf(const State &state, const BackendQuery &query,
-                                   const WeightsDates *dates, TimePoint now) const;
+    static void removeFromBacklog(State &state, const BackendChoice &choice);
+    [[nodiscard]] Millis penaltiesOf(const State &state, const BackendQuery &query,
+                                     const WeightsDates *dates, TimePoint now) const;
     [[nodiscard]] static Millis prefillTime(const State &state, double tokens, TimePoint now);
-    [[nodiscard]] bool isSilent(const State &state, TimePoint now) const;
-    [[nodiscard]] bool mayBegin(const State &state, const BackendQuery &query,
-                                const WeightsDates *dates, TimePoint now) const;
+    [[nodiscard]] bool isUnresponsive(const State &state, TimePoint now) const;
+    [[nodiscard]] bool canBeginInTime(const State &state, const BackendQuery &query,
+                                      const WeightsDates *dates, TimePoint now) const;
     /// Pseudo-random number in [0, 1) that differs between requests for the same part.
     [[nodiscard]] static double drawFor(std::uint64_t part, TimePoint now);
-    [[nodiscard]] PrefillPlan planPrefill(const State &engine, const State &home,
+    [[nodiscard]] PrefillPlan planPrefill(const State &engine, const State &preferred,
                                           const BackendQuery &query, const KeptStore *store,
                                           TimePoint now) const;
-    [[nodiscard]] const State *holderBeside(const State &engine,
-                                            const PartHolders::Question &question,
-                                            const BackendQuery &query, TimePoint now) const;
+    [[nodiscard]] const State *fetchSource(const State &engine,
+                                           const PartHolders::Question &question,
+                                           const BackendQuery &query, TimePoint now) const;
     void apply(const PlacementUpdate &update, TimePoint now);
     [[nodiscard]] State *find(const EngineId &id);
-    static void learnWeights(State &state, const ModelId &model, std::uint64_t version);
+    static void recordWeights(State &state, const ModelId &model, std::uint64_t version);
     [[nodiscard]] static std::uint64_t weightsOf(const State &state, const ModelId &model);
     void subtract(const Peer &peer, TimePoint now);
     /// Estimated number of requests of other nodes that are still running.
--- a/src/vanilladyke/policy/backend_choice.cpp
+++ b/src/vanilladyke/policy/backend_choice.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 /// Assumed time of a plain service's call; only its ratio to other waits matters.
-constexpr Millis PlainCall{10};
+constexpr Millis PlainCallTime{10};
 
 } // namespace
 
@@ -45,8 +45,8 @@
     return dates->second.endOf(weightsOf(state->second, model), m_costs.oldWeightsPeriod);
 }
 
-bool BackendTracker::mayBegin(const State &state, const BackendQuery &query,
-                              const WeightsDates *dates, TimePoint now) const
+bool BackendTracker::canBeginInTime(const State &state, const BackendQuery &query,
+                                    const WeightsDates *dates, TimePoint now) const
 {
     if (dates == nullptr) {
         return true;
@@ -56,7 +56,7 @@
         return true;
     }
     const auto tokens = static_cast<double>(query.sharedTokens + query.ownTokens);
-    const Millis wait = waitOf(state, query.urgency, now) + prefillTime(state, tokens, now);
+    const Millis wait = predictedWait(state, query.urgency, now) + prefillTime(state, tokens, now);
     const auto begins = std::chrono::duration_cast<Duration>(m_costs.oldWeightsWaitFactor * wait);
     return now + begins + OldWeightsMargin < *end;
 }
@@ -66,21 +66,22 @@
     return state.throughput->prefillTime(tokens) * state.slowdown.factor(now);
 }
 
-bool BackendTracker::isSilent(const State &state, TimePoint now) const
+bool BackendTracker::isUnresponsive(const State &state, TimePoint now) const
 {
-    return state.unanswered > 0 && now - state.silentSince > SilenceToAvoid;
+    return state.unanswered > 0 && now - state.unansweredSince > UnresponsiveAfter;
 }
 
-Millis BackendTracker::waitOf(const State &state, int urgency, TimePoint now) const
+Millis BackendTracker::predictedWait(const State &state, int urgency, TimePoint now) const
 {
     // The reported queue of the engine contains the requests of this node and of its peers, which
     // are predicted below; only requests of unknown nodes are added.
     const double peers = peersInFlight(state, now);
     int others = 0;
     int queued = 0;
-    if (now - state.reportedAt < ReportLife) {
-        const int told = state.reportedRunning + state.reportedWaiting - state.ownAtReport;
-        others = std::max(0, told - static_cast<int>(peers));
+    if (now - state.reportedAt < ReportLifetime) {
+        const int reportedOthers =
+                state.reportedRunning + state.reportedWaiting - state.ownAtReport;
+        others = std::max(0, reportedOthers - static_cast<int>(peers));
         queued = std::min(others, state.reportedWaiting);
     }
     const int busy = others + state.inFlight + static_cast<int>(std::lround(peers));
@@ -90,39 +91,39 @@
     const double slotsUsed = static_cast<double>(busy) / std::max(state.entry.slots, 1);
     const int most = m_costs.weighsUrgency ? urgency : PrefillBacklog::Urgencies - 1;
     return state.backlog.ahead(most) + state.peerBacklog.ahead(most, now) + busy * m_costs.stepDelay
-           + over * perSlot + slotsUsed * PlainCall;
+           + over * perSlot + slotsUsed * PlainCallTime;
 }
 
-Millis BackendTracker::chargesOf(const State &state, const BackendQuery &query,
-                                 const WeightsDates *dates, TimePoint now) const
+Millis BackendTracker::penaltiesOf(const State &state, const BackendQuery &query,
+                                   const WeightsDates *dates, TimePoint now) const
 {
     const std::uint64_t weights = weightsOf(state, query.model);
-    Millis charges =
+    Millis penalties =
             state.entry.dataCentre == m_here ? Millis::zero() : m_costs.crossDataCentrePenalty;
-    if (state.failurePart > 0) {
+    if (state.failureFraction > 0) {
         const double age = secondsOf(now - state.failureAt) / secondsOf(FailureHalfLife);
-        charges += m_costs.failurePenalty * state.failurePart * std::exp2(-age);
+        penalties += m_costs.failurePenalty * state.failureFraction * std::exp2(-age);
     }
-    if (isSilent(state, now)) {
-        charges += m_costs.unresponsivePenalty;
+    if (isUnresponsive(state, now)) {
+        penalties += m_costs.unresponsivePenalty;
     }
     if (state.limit.perSecond()) {
-        charges += m_costs.limitedPenalty * state.limit.scarcity(now);
+        penalties += m_costs.limitedPenalty * state.limit.scarcity(now);
     }
     if (dates != nullptr && dates->isReplaced(weights, now - OldWeightsGrace)) {
-        charges += m_costs.oldWeightsPenalty * Millis(query.target);
+        penalties += m_costs.oldWeightsPenalty * Millis(query.target);
     }
-    return charges;
+    return penalties;
 }
 
-DataCentreId BackendTracker::homeCentre(const std::vector<const State *> &all,
-                                        std::uint64_t part) const
+DataCentreId BackendTracker::preferredDataCentre(const std::vector<const State *> &all,
+                                                 std::uint64_t part) const
 {
-    const auto home =
+    const auto preferred =
             std::max_element(all.begin(), all.end(), [part](const State *a, const State *b) {
                 return mixBits(part ^ a->hash) < mixBits(part ^ b->hash);
             });
-    return home == all.end() ? DataCentreId() : (*home)->entry.dataCentre;
+    return preferred == all.end() ? DataCentreId() : (*preferred)->entry.dataCentre;
 }
 
 std::uint64_t BackendTracker::newestWeights(const ModelId &model) const
@@ -131,23 +132,23 @@
     return dates == m_weightsDates.end() ? 0 : dates->second.newest();
 }
 
-void BackendTracker::keepHomes(const BackendQuery &query, std::size_t more, TimePoint now,
-                               std::vector<Candidate> *open) const
+void BackendTracker::limitCandidates(const BackendQuery &query, std::size_t more, TimePoint now,
+                                     std::vector<Candidate> *available) const
 {
-    std::sort(open->begin(), open->end(),
+    std::sort(available->begin(), available->end(),
               [](const Candidate &a, const Candidate &b) { return a.order > b.order; });
     const std::vector<std::uint64_t> holders = m_holders.backends(query.partKey());
     const std::uint64_t newest = newestWeights(query.model);
     std::vector<Candidate> kept;
     std::vector<Candidate> others;
     std::size_t onNewest = 0;
-    for (const Candidate &each : *open) {
+    for (const Candidate &each : *available) {
         const bool isFirst = kept.size() + others.size() < m_costs.preferredCount;
         const bool isHolder =
                 std::find(holders.begin(), holders.end(), each.state->hash) != holders.end();
-        bool standsIn = newest > 0 && weightsOf(*each.state, query.model) >= newest;
-        standsIn = standsIn && onNewest++ < m_costs.preferredCount;
-        (isFirst || isHolder || standsIn ? kept : others).push_back(each);
+        bool isReplacement = newest > 0 && weightsOf(*each.state, query.model) >= newest;
+        isReplacement = isReplacement && onNewest++ < m_costs.preferredCount;
+        (isFirst || isHolder || isReplacement ? kept : others).push_back(each);
     }
     const auto drawn = others.begin() + static_cast<std::ptrdiff_t>(std::min(more, others.size()));
     const std::uint64_t draw =
@@ -157,14 +158,14 @@
                           return mixBits(draw ^ a.state->hash) > mixBits(draw ^ b.state->hash);
                       });
     kept.insert(kept.end(), others.begin(), drawn);
-    *open = std::move(kept);
+    *available = std::move(kept);
 }
 
-std::optional<TimePoint> BackendTracker::opensLater(const State &state, TimePoint now) const
+std::optional<TimePoint> BackendTracker::availableAt(const State &state, TimePoint now) const
 {
-    const TimePoint closedUntil = std::max(state.closedUntil, state.loadingUntil);
-    if (closedUntil > now) {
-        return closedUntil;
+    const TimePoint excludedUntil = std::max(state.excludedUntil, state.loadingUntil);
+    if (excludedUntil > now) {
+        return excludedUntil;
     }
     if (!m_costs.enforcesLimits || state.limit.allows(drawFor(state.hash, now), now)) {
         return std::nullopt;
@@ -172,60 +173,61 @@
     return state.limit.nextAllowedAt(now);
 }
 
-BackendTracker::Weighed BackendTracker::weigh(const BackendQuery &query, const WeightsDates *dates,
-                                              std::size_t more, TimePoint now,
-                                              NoBackend *none) const
+BackendTracker::CandidateSet BackendTracker::collectCandidates(const BackendQuery &query,
+                                                               const WeightsDates *dates,
+                                                               std::size_t more, TimePoint now,
+                                                               NoBackend *none) const
 {
     const std::vector<const State *> &all = m_byService.at(query.service);
     const bool hasPreferredEngine = query.hasPreferredEngine();
     const std::uint64_t part = hasPreferredEngine ? query.preferenceKey() : 0;
-    const bool isWhole = all.size() <= WholeUpTo;
-    const std::size_t most =
-            isWhole ? all.size()
-                    : (hasPreferredEngine ? m_costs.preferredCount : m_costs.candidateCount + more);
+    const bool evaluatesAll = all.size() <= EvaluateAllUpTo;
+    const std::size_t most = evaluatesAll ? all.size()
+                                          : (hasPreferredEngine ? m_costs.preferredCount
+                                                                : m_costs.candidateCount + more);
     // With a store in each data centre, the engines in the data centre of the preferred one come
     // first in the order, close to the store that keeps the part.
-    constexpr std::uint64_t Beside = 1ULL << 63U;
+    constexpr std::uint64_t SameDataCentre = 1ULL << 63U;
     const bool hasStores = query.kept != nullptr && query.kept->stores() > 1;
-    Weighed result;
+    CandidateSet result;
     if (hasPreferredEngine) {
-        result.homeCentre = homeCentre(all, part);
+        result.preferredDataCentre = preferredDataCentre(all, part);
     }
-    std::size_t good = 0;
+    std::size_t responsive = 0;
     for (const State *state : all) {
-        if (!hasPreferredEngine && good >= most) {
+        if (!hasPreferredEngine && responsive >= most) {
             break;
         }
         const bool isTried = std::find(query.exclude.begin(), query.exclude.end(), state->entry.id)
                              != query.exclude.end();
-        if (isTried || !mayBegin(*state, query, dates, now)) {
+        if (isTried || !canBeginInTime(*state, query, dates, now)) {
             continue;
         }
-        if (const auto later = opensLater(*state, now)) {
+        if (const auto later = availableAt(*state, now)) {
             none->retryAt = std::min(none->retryAt, *later);
             continue;
         }
-        good += isSilent(*state, now) ? 0 : 1;
-        std::uint64_t order = mixBits(part ^ state->hash) & ~Beside;
-        if (!hasStores || state->entry.dataCentre == result.homeCentre) {
-            order |= Beside;
+        responsive += isUnresponsive(*state, now) ? 0 : 1;
+        std::uint64_t order = mixBits(part ^ state->hash) & ~SameDataCentre;
+        if (!hasStores || state->entry.dataCentre == result.preferredDataCentre) {
+            order |= SameDataCentre;
         }
-        result.open.push_back({state, order, {}});
+        result.available.push_back({state, order, {}});
     }
-    if (hasPreferredEngine && result.open.size() > most) {
-        keepHomes(query, more, now, &result.open);
+    if (hasPreferredEngine && result.available.size() > most) {
+        limitCandidates(query, more, now, &result.available);
     }
-    for (Candidate &each : result.open) {
-        each.wait = waitOf(*each.state, query.urgency, now);
-        each.cost = each.wait + chargesOf(*each.state, query, dates, now);
+    for (Candidate &each : result.available) {
+        each.wait = predictedWait(*each.state, query.urgency, now);
+        each.cost = each.wait + penaltiesOf(*each.state, query, dates, now);
     }
     return result;
 }
 
-const BackendTracker::State *BackendTracker::holderBeside(const State &engine,
-                                                          const PartHolders::Question &question,
-                                                          const BackendQuery &query,
-                                                          TimePoint now) const
+const BackendTracker::State *BackendTracker::fetchSource(const State &engine,
+                                                         const PartHolders::Question &question,
+                                                         const BackendQuery &query,
+                                                         TimePoint now) const
 {
     const State *best = nullptr;
     if (!m_costs.fetchesFromEngines) {
@@ -237,10 +239,10 @@
             continue;
         }
         const State &state = *known->second;
-        const bool isSound = state.closedUntil <= now && state.loadingUntil <= now
-                             && !isSilent(state, now)
-                             && weightsOf(state, query.model) == question.weights;
-        best = isSound ? &state : best; // the most recently used comes last
+        const bool isUsable = state.excludedUntil <= now && state.loadingUntil <= now
+                              && !isUnresponsive(state, now)
+                              && weightsOf(state, query.model) == question.weights;
+        best = isUsable ? &state : best; // the most recently used comes last
     }
     return best;
 }
@@ -252,7 +254,7 @@
     return static_cast<double>(mixBits(part ^ mixBits(nanos)) >> 11U) * Scale;
 }
 
-BackendTracker::PrefillPlan BackendTracker::planPrefill(const State &engine, const State &home,
+BackendTracker::PrefillPlan BackendTracker::planPrefill(const State &engine, const State &preferred,
                                                         const BackendQuery &query,
                                                         const KeptStore *store, TimePoint now) const
 {
@@ -263,7 +265,8 @@
             store != nullptr && query.kept->holds(store->endpoint, salt, query.sharedPart, now);
     // A preferred engine on older weights cannot hold the part under newer ones, so some engine has
     // to prefill it: no penalty.
-    const bool isHome = &engine == &home || weightsOf(home, query.model) < question.weights;
+    const bool isPreferred =
+            &engine == &preferred || weightsOf(preferred, query.model) < question.weights;
     const auto shared = static_cast<double>(query.sharedTokens);
     PrefillPlan plan;
     plan.tokens = static_cast<double>(query.ownTokens);
@@ -274,7 +277,7 @@
         plan.saveTo = store->endpoint;
     }
     // Engines transfer faster than a store, whose single link is shared by many engines.
-    const State *holder = holderBeside(engine, question, query, now);
+    const State *holder = fetchSource(engine, question, query, now);
     const std::uint64_t storeName = store == nullptr ? 0 : hashOf(store->endpoint);
     const bool mayFetch = isKept
                           && m_fetches.allows(storeName, m_costs.keptTokensPerMs,
@@ -289,11 +292,11 @@
     }
     plan.store = isKept && holder == nullptr ? storeName : 0;
     if (holder != nullptr) {
-        plan.charge = m_costs.copyPenalty * sharedTime;
+        plan.penalty = m_costs.copyPenalty * sharedTime;
         plan.time += FetchSetup + Millis(shared / m_costs.engineTokensPerMs);
         return plan;
     }
-    plan.charge = isHome ? Millis::zero() : m_costs.nonPreferredPenalty * sharedTime;
+    plan.penalty = isPreferred ? Millis::zero() : m_costs.nonPreferredPenalty * sharedTime;
     if (mayFetch) {
         constexpr double AcrossCentres = 2;
         const double far = store->dataCentre == engine.entry.dataCentre ? 1 : AcrossCentres;
@@ -310,22 +313,23 @@
 {
     const auto service = m_byService.find(query.service);
     if (service == m_byService.end() || service->second.empty()) {
-        return tl::make_unexpected(NoBackend{false, now + UnknownPause});
+        return tl::make_unexpected(NoBackend{false, now + UnknownServiceRetryDelay});
     }
     const auto datesFound = m_weightsDates.find(query.model);
     const bool hasDates = !query.model.empty() && datesFound != m_weightsDates.end();
     const WeightsDates *dates = hasDates ? &datesFound->second : nullptr;
-    NoBackend none{true, now + LongestClose};
-    std::optional<BackendChoice> chosen = best(query, weigh(query, dates, 0, now, &none), now);
-    const Millis mostWait = m_costs.maxWaitFraction * Millis(query.target);
-    if (!chosen || chosen->wait > mostWait) {
+    NoBackend none{true, now + MaxExclusion};
+    std::optional<BackendChoice> chosen =
+            best(query, collectCandidates(query, dates, 0, now, &none), now);
+    const Millis maxWait = m_costs.maxWaitFraction * Millis(query.target);
+    if (!chosen || chosen->wait > maxWait) {
         // The request would be refused: other servers may be free, though they prefill more of it.
-        Weighed wider = weigh(query, dates, m_costs.candidateCount, now, &none);
-        const auto crowded =
-                std::partition(wider.open.begin(), wider.open.end(),
-                               [&](const Candidate &each) { return each.wait <= mostWait; });
-        if (crowded != wider.open.begin()) {
-            wider.open.erase(crowded, wider.open.end());
+        CandidateSet wider = collectCandidates(query, dates, m_costs.candidateCount, now, &none);
+        const auto overloaded =
+                std::partition(wider.available.begin(), wider.available.end(),
+                               [&](const Candidate &each) { return each.wait <= maxWait; });
+        if (overloaded != wider.available.begin()) {
+            wider.available.erase(overloaded, wider.available.end());
         }
         chosen = best(query, wider, now);
     }
@@ -335,32 +339,31 @@
     return *chosen;
 }
 
-std::optional<BackendChoice> BackendTracker::best(const BackendQuery &query, const Weighed &weighed,
-                                                  TimePoint now) const
+std::optional<BackendChoice>
+BackendTracker::best(const BackendQuery &query, const CandidateSet &candidates, TimePoint now) const
 {
-    const std::vector<Candidate> &open = weighed.open;
-    if (open.empty()) {
+    const std::vector<Candidate> &available = candidates.available;
+    if (available.empty()) {
         return std::nullopt;
     }
     const bool hasPreferredEngine = query.hasPreferredEngine();
     const KeptStore *store = hasPreferredEngine && query.kept != nullptr
-                                     ? query.kept->storeOf(weighed.homeCentre)
+                                     ? query.kept->storeOf(candidates.preferredDataCentre)
                                      : nullptr;
-    const auto home =
-            std::max_element(open.begin(), open.end(), [](const Candidate &a, const Candidate &b) {
-                return a.order < b.order;
-            });
+    const auto preferred = std::max_element(
+            available.begin(), available.end(),
+            [](const Candidate &a, const Candidate &b) { return a.order < b.order; });
     BackendChoice best;
     const State *chosen = nullptr;
-    for (const Candidate &engine : open) {
+    for (const Candidate &engine : available) {
         PrefillPlan plan;
         if (hasPreferredEngine) {
-            plan = planPrefill(*engine.state, *home->state, query, store, now);
+            plan = planPrefill(*engine.state, *preferred->state, query, store, now);
         } else {
             plan.tokens = static_cast<double>(query.sharedTokens + query.ownTokens);
             plan.time = prefillTime(*engine.state, plan.tokens, now);
         }
-        const Millis cost = engine.cost + plan.time + plan.charge;
+        const Millis cost = engine.cost + plan.time + plan.penalty;
         if (chosen == nullptr || cost < best.cost) {
             chosen = engine.state;
             best.isCached = plan.isCached;
@@ -374,18 +377,18 @@
     }
     best.chosenAt = now;
     best.urgency = query.urgency;
-    best.wait = waitOf(*chosen, query.urgency, now);
+    best.wait = predictedWait(*chosen, query.urgency, now);
     best.timeToFirstToken = best.wait + best.prefill + chosen->throughput->predict(0);
     best.tokensPerMs = chosen->throughput->tokensPerMs() / chosen->slowdown.factor(now);
     best.hasNoBacklog =
             chosen->unanswered == 0
             && chosen->peerBacklog.ahead(PrefillBacklog::Urgencies - 1, now) <= Millis::zero()
-            && (now - chosen->reportedAt > ReportLife || chosen->reportedWaiting == 0);
+            && (now - chosen->reportedAt > ReportLifetime || chosen->reportedWaiting == 0);
     best.part = hasPreferredEngine ? query.partKey() : 0;
     best.sharedTokens = query.sharedTokens;
     best.backend = chosen->entry;
     best.weights = weightsOf(*chosen, query.model);
-    best.candidates = open.size();
+    best.candidates = available.size();
     return best;
 }
 
--- a/src/vanilladyke/policy/backend_fleet_test.cpp
+++ b/src/vanilladyke/policy/backend_fleet_test.cpp
@@ -39,7 +39,7 @@
     double longP99 = 0;
     double longMean = 0;
     int shed = 0;
-    int sharedReads = 0; ///< number of complete prefills of shared parts
+    int sharedPrefills = 0; ///< number of complete prefills of shared parts
     int longs = 0;
     int shorts = 0;
     int refusedLongs = 0;
@@ -78,7 +78,7 @@
     static constexpr std::size_t Queue = 48;
 
     /// @return ms until its backlog is processed
-    [[nodiscard]] double wait(double now) const { return std::max(0.0, m_readUntil - now); }
+    [[nodiscard]] double backlogMs(double now) const { return std::max(0.0, m_busyUntil - now); }
 
     [[nodiscard]] bool holds(int part) const
     {
@@ -86,7 +86,7 @@
                            [part](const auto &each) { return each.first == part; });
     }
 
-    void keep(int part, double tokens)
+    void cache(int part, double tokens)
     {
         std::erase_if(m_parts, [part](const auto &each) { return each.first == part; });
         m_parts.emplace_back(part, tokens);
@@ -102,10 +102,10 @@
 
     /// @param from arrival time of a fetched part; other prompts are prefilled meanwhile
     /// @return time of the first token
-    double read(double now, double from, double tokens)
+    double prefill(double now, double from, double tokens)
     {
-        m_readUntil = std::max(now, m_readUntil) + tokens / TokensPerMs;
-        return std::max(from + tokens / TokensPerMs, m_readUntil) + FirstTokenMs;
+        m_busyUntil = std::max(now, m_busyUntil) + tokens / TokensPerMs;
+        return std::max(from + tokens / TokensPerMs, m_busyUntil) + FirstTokenMs;
     }
 
     int open = 0; ///< requests at the engine
@@ -113,7 +113,7 @@
 
 private:
     std::deque<std::pair<int, double>> m_parts; ///< with their tokens, the most recently used last
-    double m_readUntil = 0;
+    double m_busyUntil = 0;
 };
 
 class FleetTrial
@@ -294,7 +294,7 @@
         }
         ++(isLong ? m_result.refusedLongs : m_result.refusedShorts);
         const double most = terms.mostPart * Millis(query.target).count();
-        m_result.falselyRefused += engine.wait(ms) < most ? 1 : 0;
+        m_result.falselyRefused += engine.backlogMs(ms) < most ? 1 : 0;
         return true;
     }
 
@@ -310,10 +310,10 @@
                 const std::optional<double> fetched = fetch(ms, choice, part, shared);
                 from = fetched.value_or(ms);
                 tokens += fetched ? 0 : shared;
-                m_result.sharedReads += fetched ? 0 : 1;
+                m_result.sharedPrefills += fetched ? 0 : 1;
             }
-            engine.keep(part, shared);
-            engine.keep(--m_ownPart, tokens);
+            engine.cache(part, shared);
+            engine.cache(--m_ownPart, tokens);
             if (choice.saveTo) {
                 m_kept[node].recordSaved(
                         KeptCacheView::keyOf(cacheSalt(llmModel, 1, {}), query.sharedPart), at(ms));
@@ -321,7 +321,7 @@
             }
         }
         ++engine.open;
-        const double first = engine.read(ms, from, tokens);
+        const double first = engine.prefill(ms, from, tokens);
         (isLong ? m_longs : m_shorts).push_back(first - ms);
         m_running.push({first, node, index, choice, false});
     }
@@ -356,7 +356,7 @@
     Result m_result;
 };
 
-Result play(const Load &load)
+Result simulate(const Load &load)
 {
     BackendCostParameters rates;
     rates.keptTokensPerMs = 660;
@@ -377,10 +377,10 @@
 // selects the engines that were idle then.
 TEST(BackendFleet, LongPromptsThatAreToldAtOnceDoNotMeet)
 {
-    const Result now = play(scaled(1.5));
+    const Result now = simulate(scaled(1.5));
     Load late = scaled(1.5);
     late.minUpdateGap = late.runMs;
-    const Result before = play(late);
+    const Result before = simulate(late);
     RecordProperty("short_p99_ms", static_cast<int>(now.shortP99));
     RecordProperty("long_p99_ms", static_cast<int>(now.longP99));
     EXPECT_EQ(now.shed, 0);
@@ -397,7 +397,7 @@
     Load load = scaled(1.0);
     load.stores = 1;
     load.parts = 1023;
-    const Result result = play(load);
+    const Result result = simulate(load);
     EXPECT_LT(result.longMean, 220);
     EXPECT_LT(result.longP99, 900);
 }
@@ -407,8 +407,8 @@
 {
     Load load = scaled(1.0);
     load.parts = 1023;
-    const Result result = play(load);
-    EXPECT_LT(result.sharedReads, 1.15 * load.parts);
+    const Result result = simulate(load);
+    EXPECT_LT(result.sharedPrefills, 1.15 * load.parts);
     EXPECT_LT(result.longP99, 450);
 }
 
@@ -435,7 +435,7 @@
 // refusing callers although every engine is idle.
 TEST(BackendFleet, WhatWasToldSecondsAgoRefusesNobody)
 {
-    const Result result = play(largeFleet(1));
+    const Result result = simulate(largeFleet(1));
     EXPECT_EQ(result.refusedLongs + result.refusedShorts, 0);
     EXPECT_LT(result.longP99, 450);
 }
@@ -445,7 +445,7 @@
 // is capacity.
 TEST(BackendFleet, OthersAreWeighedBeforeAnybodyIsRefused)
 {
-    const Result result = play(largeFleet(3));
+    const Result result = simulate(largeFleet(3));
     EXPECT_EQ(result.falselyRefused, 0);
     EXPECT_LT(result.longP99, 600);
     EXPECT_LT(result.shortP99, 400);
--- a/src/vanilladyke/policy/backend_slots_test.cpp
+++ b/src/vanilladyke/policy/backend_slots_test.cpp
@@ -24,7 +24,7 @@
 constexpr int Slots = 6;
 constexpr double AnswerMs = 400; ///< mean; uniform from half to one and a half times that
 constexpr double RequestsPerMs = 0.10;
-constexpr double HotPart = 0.7; ///< fraction of the requests; the part changes every ShiftMs
+constexpr double HotFraction = 0.7; ///< fraction of the requests; the part changes every ShiftMs
 constexpr int ShiftMs = 3000;
 constexpr double TokensPerMs = 112;
 constexpr double FetchedPerMs = 2500;
@@ -52,27 +52,27 @@
 {
     int running = 0;
     std::deque<Sent> waiting;
-    double readUntil = 0;
+    double busyUntil = 0;
     std::deque<int> parts; ///< in its cache, the most recently used last
 
     /// @return when the first token comes
-    double read(const Sent &request, double now)
+    double prefill(const Sent &request, double now)
     {
         constexpr double FirstTokenMs = 31;
         constexpr std::size_t MostParts = 9;
         const auto known = std::find(parts.begin(), parts.end(), request.part);
-        double reads = OwnTokens / TokensPerMs;
+        double prefillMs = OwnTokens / TokensPerMs;
         if (known != parts.end()) {
             parts.erase(known);
         } else {
-            reads += SharedTokens / (request.choice.fetchFrom ? FetchedPerMs : TokensPerMs);
+            prefillMs += SharedTokens / (request.choice.fetchFrom ? FetchedPerMs : TokensPerMs);
         }
         parts.push_back(request.part);
         if (parts.size() > MostParts) {
             parts.pop_front();
         }
-        readUntil = std::max(now, readUntil) + reads;
-        return readUntil + FirstTokenMs;
+        busyUntil = std::max(now, busyUntil) + prefillMs;
+        return busyUntil + FirstTokenMs;
     }
 };
 
@@ -115,11 +115,11 @@
             while (!m_events.empty() && m_events.top().at <= ms) {
                 const Event event = m_events.top();
                 m_events.pop();
-                happen(event, ms);
+                process(event, ms);
             }
             sendUpdates(ms);
             for (int i = std::poisson_distribution<int>(RequestsPerMs)(m_random); i > 0; --i) {
-                ask(ms);
+                send(ms);
             }
         }
         return m_outcome;
@@ -159,12 +159,12 @@
         }
     }
 
-    void ask(int ms)
+    void send(int ms)
     {
         constexpr int Others = 60;
         Sent request;
         request.node = uniformBelow(m_random, Nodes);
-        const bool isHot = uniform(m_random) < HotPart;
+        const bool isHot = uniform(m_random) < HotFraction;
         request.part =
                 isHot ? Others + ms / ShiftMs : static_cast<int>(uniformBelow(m_random, Others));
         request.sentAt = ms;
@@ -195,11 +195,11 @@
             const Sent request = engine.waiting.front();
             engine.waiting.pop_front();
             ++engine.running;
-            m_events.push({engine.read(request, now), request, false});
+            m_events.push({engine.prefill(request, now), request, false});
         }
     }
 
-    void happen(const Event &event, int ms)
+    void process(const Event &event, int ms)
     {
         const Sent &request = event.request;
         BackendTracker &tracker = m_nodes[request.node];
--- a/src/vanilladyke/policy/backend_tracker.cpp
+++ b/src/vanilladyke/policy/backend_tracker.cpp
@@ -28,7 +28,7 @@
         state.entry = entry;
         state.entry.weights = seen;
         for (const auto &[model, version] : entry.weights) {
-            learnWeights(state, model, version);
+            recordWeights(state, model, version);
         }
         state.hash = hashOf(entry.id);
         next.emplace(entry.id, std::move(state));
@@ -80,7 +80,7 @@
                                      std::uint64_t version, TimePoint now)
 {
     if (State *state = find(id)) {
-        learnWeights(*state, model, version);
+        recordWeights(*state, model, version);
         state->loadingUntil = now;
         state->orderedUntil = now;
         state->reportUntil = now + ReportWeightsFor;
@@ -122,12 +122,12 @@
 void BackendTracker::subtract(const Peer &peer, TimePoint now)
 {
     const Millis age = now - peer.lastSeenAt;
-    for (const PeerPart &part : peer.parts) {
-        const auto found = m_byHash.find(part.backend);
+    for (const PeerLoad &load : peer.loads) {
+        const auto found = m_byHash.find(load.backend);
         if (found != m_byHash.end()) {
             State &state = *found->second;
-            state.peerBacklog.remove(part.report, now);
-            changePeersInFlight(state, -part.inFlight * std::exp(-(age / state.durations->mean())),
+            state.peerBacklog.remove(load.report, now);
+            changePeersInFlight(state, -load.inFlight * std::exp(-(age / state.durations->mean())),
                                 now);
         }
     }
@@ -139,7 +139,7 @@
     Peer &peer = m_peers[node];
     subtract(peer, now);
     peer.lastSeenAt = now;
-    peer.parts.clear();
+    peer.loads.clear();
     for (const BackendLoadUpdate &each : updates) {
         const auto known = m_byHash.find(each.backend);
         if (known == m_byHash.end()) {
@@ -148,13 +148,13 @@
         State &state = *known->second;
         if (m_costs.countsPeerLoad) {
             changePeersInFlight(state, each.inFlight, now);
-            peer.parts.push_back(
+            peer.loads.push_back(
                     {each.backend, state.peerBacklog.add(each.backlog, now), each.inFlight});
         }
         std::uint64_t before = each.weights;
         if (state.entry.weights.size() == 1 && each.weights > 0) {
             before = state.entry.weights.begin()->second;
-            learnWeights(state, state.entry.weights.begin()->first, each.weights);
+            recordWeights(state, state.entry.weights.begin()->first, each.weights);
         }
         const bool hasLoaded = before < each.weights;
         state.loadingUntil =
@@ -188,11 +188,11 @@
 void BackendTracker::dropExpiredPeers(TimePoint now)
 {
     std::erase_if(m_peers, [&](const auto &item) {
-        const bool isSilent = now - item.second.lastSeenAt > PeerLife;
-        if (isSilent) {
+        const bool isExpired = now - item.second.lastSeenAt > PeerLifetime;
+        if (isExpired) {
             subtract(item.second, now);
         }
-        return isSilent;
+        return isExpired;
     });
 }
 
@@ -225,7 +225,7 @@
     m_costs.keptTokensPerMs = rates.kept > 0 ? rates.kept : m_costs.keptTokensPerMs;
 }
 
-void BackendTracker::learnWeights(State &state, const ModelId &model, std::uint64_t version)
+void BackendTracker::recordWeights(State &state, const ModelId &model, std::uint64_t version)
 {
     std::uint64_t &known = state.entry.weights[model];
     known = std::max(known, version);
@@ -241,7 +241,7 @@
     state.limit.sent(now);
     ++state.inFlight;
     if (state.unanswered++ == 0) {
-        state.silentSince = now;
+        state.unansweredSince = now;
     }
     state.backlog.add(choice.urgency, choice.prefill);
     if (!query.hasPreferredEngine()) {
@@ -263,7 +263,7 @@
     }
 }
 
-void BackendTracker::waitsNoMore(State &state, const BackendChoice &choice)
+void BackendTracker::removeFromBacklog(State &state, const BackendChoice &choice)
 {
     state.unanswered = std::max(0, state.unanswered - 1);
     state.backlog.remove(choice.urgency, choice.prefill);
@@ -279,8 +279,8 @@
         return;
     }
     State &state = *known;
-    waitsNoMore(state, choice);
-    state.silentSince = now;
+    removeFromBacklog(state, choice);
+    state.unansweredSince = now;
     state.begunAt.push_back(now);
     if (choice.hasNoBacklog && choice.prefillTokens > 0) {
         const Millis took = now - choice.chosenAt;
@@ -302,25 +302,25 @@
     State &state = *known;
     if (hadBegun) {
         state.durations->observed(now - choice.chosenAt);
-        slotGivenBack(state, choice, now);
+        observeSlotTime(state, choice, now);
     }
     state.inFlight = std::max(0, state.inFlight - 1);
     if (!hadBegun) {
-        waitsNoMore(state, choice);
+        removeFromBacklog(state, choice);
     } else {
-        state.silentSince = now;
+        state.unansweredSince = now;
     }
     constexpr double Weight = 0.2;
     const double age = secondsOf(now - state.failureAt) / secondsOf(FailureHalfLife);
-    const double before = state.failurePart > 0 ? state.failurePart * std::exp2(-age) : 0;
-    state.failurePart = before + Weight * ((failed ? 1.0 : 0.0) - before);
+    const double before = state.failureFraction > 0 ? state.failureFraction * std::exp2(-age) : 0;
+    state.failureFraction = before + Weight * ((failed ? 1.0 : 0.0) - before);
     state.failureAt = now;
     if (!failed && hadBegun) {
-        state.lastClose = Duration::zero();
+        state.lastExclusion = Duration::zero();
     }
 }
 
-void BackendTracker::slotGivenBack(State &state, const BackendChoice &choice, TimePoint now)
+void BackendTracker::observeSlotTime(State &state, const BackendChoice &choice, TimePoint now)
 {
     if (state.begunAt.empty()) {
         return;
@@ -343,8 +343,8 @@
         return;
     }
     State &state = *known;
-    state.lastClose = std::clamp<Duration>(state.lastClose * 2, FirstClose, LongestClose);
-    state.closedUntil = std::max(state.closedUntil, now + state.lastClose);
+    state.lastExclusion = std::clamp<Duration>(state.lastExclusion * 2, MinExclusion, MaxExclusion);
+    state.excludedUntil = std::max(state.excludedUntil, now + state.lastExclusion);
 }
 
 void BackendTracker::reported(const EngineId &id, int running, int waiting, TimePoint now)
@@ -417,7 +417,7 @@
                                      std::uint64_t version)
 {
     if (State *state = find(id)) {
-        learnWeights(*state, model, version);
+        recordWeights(*state, model, version);
     }
 }
 
@@ -430,7 +430,7 @@
     const std::uint64_t newest = newestWeights(model);
     if (weightsOf(*state, model) < newest) {
         // The engine has most likely loaded the newest weights meanwhile.
-        learnWeights(*state, model, newest);
+        recordWeights(*state, model, newest);
         return;
     }
     exclude(id, now);
--- a/src/vanilladyke/policy/backend_tracker_test.cpp
+++ b/src/vanilladyke/policy/backend_tracker_test.cpp
@@ -173,17 +173,17 @@
 {
     BackendTracker tracker(hereCentre, {});
     tracker.setBackends(fleet(6));
-    const auto home = tracker.choose(shortPrompt(3), at(0));
-    ASSERT_TRUE(home);
+    const auto preferred = tracker.choose(shortPrompt(3), at(0));
+    ASSERT_TRUE(preferred);
     for (int i = 0; i < 4; ++i) {
-        tracker.sent(*home, longPrompt(1), at(i));
+        tracker.sent(*preferred, longPrompt(1), at(i));
     }
-    BackendChoice queued = *home;
+    BackendChoice queued = *preferred;
     queued.prefill = Millis(150);
     tracker.sent(queued, longPrompt(1), at(4));
     const auto next = tracker.choose(shortPrompt(3), at(5));
     ASSERT_TRUE(next);
-    EXPECT_NE(next->backend.id, home->backend.id);
+    EXPECT_NE(next->backend.id, preferred->backend.id);
 }
 
 // Long prompts of low urgency wait for two seconds at the engine that has an urgent request's
@@ -195,18 +195,18 @@
     tracker.setBackends(fleet(6));
     BackendQuery check = longPrompt(3);
     check.urgency = 1;
-    const auto home = tracker.choose(check, at(0));
-    ASSERT_TRUE(home);
-    BackendChoice waiting = *home;
+    const auto preferred = tracker.choose(check, at(0));
+    ASSERT_TRUE(preferred);
+    BackendChoice waiting = *preferred;
     waiting.urgency = 4;
     waiting.prefill = Millis(2000);
     tracker.sent(waiting, longPrompt(1), at(0));
     const auto urgent = tracker.choose(check, at(1));
     ASSERT_TRUE(urgent);
-    EXPECT_EQ(urgent->backend.id, home->backend.id);
+    EXPECT_EQ(urgent->backend.id, preferred->backend.id);
     EXPECT_LT(urgent->wait, Millis(10));
     check.urgency = 4;
-    EXPECT_NE(tracker.choose(check, at(1))->backend.id, home->backend.id);
+    EXPECT_NE(tracker.choose(check, at(1))->backend.id, preferred->backend.id);
 }
 
 // Many prompts have a common beginning and differ in a few tokens. Guards against giving each a
@@ -231,14 +231,14 @@
 {
     BackendTracker tracker(hereCentre, {});
     tracker.setBackends(fleet(3));
-    const auto home = tracker.choose(longPrompt(1), at(0));
-    ASSERT_TRUE(home);
-    tracker.sent(*home, longPrompt(1), at(0));
+    const auto preferred = tracker.choose(longPrompt(1), at(0));
+    ASSERT_TRUE(preferred);
+    tracker.sent(*preferred, longPrompt(1), at(0));
     const auto later = tracker.choose(longPrompt(1), at(600));
     ASSERT_TRUE(later);
-    EXPECT_NE(later->backend.id, home->backend.id);
-    tracker.began(*home, at(700));
-    EXPECT_EQ(tracker.choose(longPrompt(1), at(710))->backend.id, home->backend.id);
+    EXPECT_NE(later->backend.id, preferred->backend.id);
+    tracker.began(*preferred, at(700));
+    EXPECT_EQ(tracker.choose(longPrompt(1), at(710))->backend.id, preferred->backend.id);
 }
 
 // An engine passes its health check and fails every second request at once. Guards against it
@@ -331,15 +331,15 @@
     BackendTracker there(hereCentre, {});
     here.setBackends(fleet(6));
     there.setBackends(fleet(6));
-    const auto home = there.choose(longPrompt(1), at(0));
+    const auto preferred = there.choose(longPrompt(1), at(0));
     for (int i = 0; i < 30; ++i) {
-        there.sent(*home, longPrompt(1), at(0));
+        there.sent(*preferred, longPrompt(1), at(0));
     }
-    EXPECT_EQ(here.choose(longPrompt(1), at(1))->backend.id, home->backend.id);
+    EXPECT_EQ(here.choose(longPrompt(1), at(1))->backend.id, preferred->backend.id);
     here.receivedLoad(7, there.ownLoad(100, at(1)), at(1));
-    EXPECT_NE(here.choose(longPrompt(1), at(2))->backend.id, home->backend.id);
+    EXPECT_NE(here.choose(longPrompt(1), at(2))->backend.id, preferred->backend.id);
     here.receivedLoad(7, {}, at(3));
-    EXPECT_EQ(here.choose(longPrompt(1), at(4))->backend.id, home->backend.id);
+    EXPECT_EQ(here.choose(longPrompt(1), at(4))->backend.id, preferred->backend.id);
 }
 
 TEST(BackendTracker, TheLoadOfANodeThatFellSilentIsForgotten)
@@ -418,16 +418,16 @@
     BackendTracker there(hereCentre, {});
     here.setBackends(fleet(30));
     there.setBackends(fleet(30));
-    const auto home = there.choose(longPrompt(1), at(0));
-    ASSERT_TRUE(home);
-    there.sent(*home, longPrompt(1), at(0));
+    const auto preferred = there.choose(longPrompt(1), at(0));
+    ASSERT_TRUE(preferred);
+    there.sent(*preferred, longPrompt(1), at(0));
     here.receivedPlacements(there.takePlacements(), at(1));
     EXPECT_TRUE(there.takePlacements().empty());
     BackendQuery query = longPrompt(1);
-    query.exclude = {home->backend.id};
+    query.exclude = {preferred->backend.id};
     const auto next = here.choose(query, at(2));
     ASSERT_TRUE(next);
-    EXPECT_EQ(next->fetchFrom, home->backend.endpoint);
+    EXPECT_EQ(next->fetchFrom, preferred->backend.endpoint);
     const BackendQuery whole = longPrompt(1);
     const auto tokens = static_cast<double>(whole.sharedTokens + whole.ownTokens);
     EXPECT_LT(next->prefill, 0.33 * there.throughputOf(llmService).prefillTime(tokens));
@@ -467,7 +467,7 @@
 
 /// Fraction of fifty long prompts a second, over six nodes, that are sent to their preferred
 /// engines.
-double partAtHome(const BackendCostParameters &rates)
+double preferredFraction(const BackendCostParameters &rates)
 {
     constexpr int Nodes = 6;
     struct Running
@@ -493,7 +493,7 @@
     idle.setBackends(fleet(18));
     Random random(3);
     std::vector<Running> running;
-    int atHome = 0;
+    int atPreferred = 0;
     int all = 0;
     for (int ms = 0; ms < 20'000; ms += 20) {
         std::erase_if(running, [&](const Running &each) {
@@ -515,12 +515,12 @@
         BackendQuery query = longPrompt(static_cast<int>(uniformBelow(random, 269)));
         query.kept = &kept;
         const auto choice = nodes[node].choose(query, at(ms));
-        atHome += choice->backend.id == idle.choose(query, at(ms))->backend.id ? 1 : 0;
+        atPreferred += choice->backend.id == idle.choose(query, at(ms))->backend.id ? 1 : 0;
         ++all;
         nodes[node].sent(*choice, query, at(ms));
         running.push_back({node, *choice, at(ms + 200)});
     }
-    return static_cast<double>(atHome) / all;
+    return static_cast<double>(atPreferred) / all;
 }
 
 // With shared load updates, differences of a few milliseconds would move requests away from their
@@ -532,8 +532,9 @@
     BackendCostParameters withoutPenalties;
     withoutPenalties.copyPenalty = 0;
     withoutPenalties.nonPreferredPenalty = 0;
-    EXPECT_GT(partAtHome(BackendCostParameters{}), 0.95);
-    EXPECT_LT(partAtHome(withoutPenalties), 0.85) << "without penalties the load has to spread";
+    EXPECT_GT(preferredFraction(BackendCostParameters{}), 0.95);
+    EXPECT_LT(preferredFraction(withoutPenalties), 0.85)
+            << "without penalties the load has to spread";
 }
 
 } // namespace
--- a/src/vanilladyke/policy/engine_limit_test.cpp
+++ b/src/vanilladyke/policy/engine_limit_test.cpp
@@ -35,8 +35,8 @@
     double limit = 5;
     double demand = 15; ///< requests a second for the engine, over all nodes
     Duration updateInterval = milliseconds(80);
-    double lost = 0.03;   ///< fraction of the datagrams
-    double hotPart = 0.2; ///< fraction of the demand at the first node
+    double lost = 0.03;       ///< fraction of the datagrams
+    double hotFraction = 0.2; ///< fraction of the demand at the first node
 };
 
 /// Nodes with requests for one engine that send each other updates every `updateInterval`, with
@@ -58,8 +58,8 @@
     {
         for (TimePoint now = Start; now < Start + span; now += Step) {
             if (uniform(m_random) < m_load.demand * secondsOf(Step)) {
-                const bool isHot = uniform(m_random) < m_load.hotPart;
-                want(isHot ? 0 : uniformBelow(m_random, m_nodes.size()), now);
+                const bool isHot = uniform(m_random) < m_load.hotFraction;
+                request(isHot ? 0 : uniformBelow(m_random, m_nodes.size()), now);
             }
             for (std::size_t i = 0; i < m_nodes.size(); ++i) {
                 if (m_updateAt[i] <= now) {
@@ -76,7 +76,7 @@
     static constexpr Duration Step = milliseconds(5);
     static constexpr Duration AnswerTime = milliseconds(100);
 
-    void want(std::size_t node, TimePoint now)
+    void request(std::size_t node, TimePoint now)
     {
         if (m_nodes[node].allows(uniform(m_random), now)) {
             m_nodes[node].sent(now);
--- a/src/vanilladyke/policy/learning_test.cpp
+++ b/src/vanilladyke/policy/learning_test.cpp
@@ -55,12 +55,12 @@
     HotPrefixes hot;
     const ChainHash bulletin{1, 1};
     TimePoint now;
-    std::uint32_t homes = 0;
+    std::uint32_t preferred = 0;
     for (int i = 0; i < 3000; ++i) {
         now += milliseconds(10);
-        homes = hot.note(bulletin, std::chrono::milliseconds(20), 1, now);
+        preferred = hot.note(bulletin, std::chrono::milliseconds(20), 1, now);
     }
-    EXPECT_EQ(homes, 4U); // 100 a second at 20 ms fill two engines; at 60 % utilisation, four
+    EXPECT_EQ(preferred, 4U); // 100 a second at 20 ms fill two engines; at 60 % utilisation, four
     now += seconds(60);
     EXPECT_EQ(hot.note(bulletin, std::chrono::milliseconds(20), 1, now), 1U);
 }
@@ -85,15 +85,15 @@
     HotPrefixes hot;
     const ChainHash guide{1, 1};
     TimePoint now;
-    std::uint32_t homes = 0;
+    std::uint32_t preferred = 0;
     for (std::uint64_t i = 0; i < 20'000; ++i) {
         now += milliseconds(1);
         static_cast<void>(hot.note({2, i}, std::chrono::milliseconds(20), 1, now));
         if (i % 10 == 0) {
-            homes = hot.note(guide, std::chrono::milliseconds(20), 1, now);
+            preferred = hot.note(guide, std::chrono::milliseconds(20), 1, now);
         }
     }
-    EXPECT_EQ(homes, 4U);
+    EXPECT_EQ(preferred, 4U);
 }
 
 } // namespace
