--- a/include/vanilladyke/policy/backend_roster.hpp
+++ b/include/vanilladyke/policy/backend_roster.hpp
@@ -14,7 +14,7 @@
 /// lapsed because servers could not write for a while mean nothing; removing them would empty the
 /// roster at the very moment at which the store returns. The two cases differ in that a lapse
 /// affects most entries at once: if most of them are removed within LapseWindow, soon after a
-/// failed call to the store, all of these are kept for ReturnTime, in which running servers write
+/// failed call to the store, all of these are kept for RewriteGrace, in which running servers write
 /// again. A few removed entries take effect at once, also after a store failure, which may have
 /// affected this node alone. A server that reported that it drains never returns.
 namespace vanilladyke {
@@ -25,10 +25,10 @@
 public:
     /// Guaranteed by the platform: entries are written again within about two seconds of the
     /// store's return.
-    static constexpr Duration ReturnTime = std::chrono::milliseconds(2200);
+    static constexpr Duration RewriteGrace = std::chrono::milliseconds(2200);
     /// An entry is removed after three missed heartbeats, so a failure may take effect this long
     /// after it ended.
-    static constexpr Duration TroubleMemory = std::chrono::seconds(4);
+    static constexpr Duration StoreFailureWindow = std::chrono::seconds(4);
     /// Entries that lapse together are read by two or three successive calls.
     static constexpr Duration LapseWindow = std::chrono::seconds(2);
 
@@ -38,7 +38,7 @@
     /// @brief Removes an entry that is no longer in the store. @return whether an entry was removed
     bool remove(const EngineId &id, TimePoint now);
     /// @brief Records that a call to the store failed or timed out.
-    void storeFailed(TimePoint now) { m_lastTrouble = now; }
+    void storeFailed(TimePoint now) { m_lastStoreFailure = now; }
     /// @brief Drops lapsed entries that were not written again in time. @return whether there were
     /// any
     bool expire(TimePoint now);
@@ -59,20 +59,19 @@
     [[nodiscard]] std::size_t size() const { return m_entries.size(); }
 
 private:
-    struct Known
+    struct TrackedEntry
     {
         BackendEntry entry;
-        std::optional<TimePoint>
-                goneAt; ///< set if the entry lapsed: the time at which it is dropped
+        std::optional<TimePoint> dropAt; ///< set if the entry lapsed: when it is dropped
     };
 
     [[nodiscard]] bool isLapse(TimePoint now) const;
-    void revive(TimePoint now);
+    void restoreLapsed(TimePoint now);
 
-    std::map<EngineId, Known> m_entries;
+    std::map<EngineId, TrackedEntry> m_entries;
     std::map<EngineId, std::pair<BackendEntry, TimePoint>> m_removed; ///< within LapseWindow
     std::unordered_map<EngineId, std::uint64_t> m_lastHeartbeat;      ///< also of removed servers
-    TimePoint m_lastTrouble = TimePoint::min();
+    TimePoint m_lastStoreFailure = TimePoint::min();
 };
 
 } // namespace vanilladyke
--- a/include/vanilladyke/policy/backend_tracker.hpp
+++ b/include/vanilladyke/policy/backend_tracker.hpp
@@ -19,7 +19,7 @@
 ///   has a preferred engine, the first of its rendezvous order, which all nodes compute alike. A
 ///   request leaves it only if the wait there costs more than a fetch or a prefill elsewhere.
 /// - The preferred engine is overloaded or gone: the next of the order takes over. It fetches the
-///   part from an engine that recently received it, or from the kept-cache store within the
+///   part from an engine to which a node recently sent it, or from the kept-cache store within the
 ///   capacity of the store's link.
 /// - Short requests behind long ones: a waiting prompt only counts as backlog for requests that are
 ///   no more urgent.
@@ -31,16 +31,15 @@
 /// - All of these have a queue: further servers, drawn at random for this request, are evaluated
 ///   before it is refused. A new draw for each request spreads the excess over the fleet.
 /// - An engine that answers nothing while requests wait there is avoided after UnresponsiveAfter.
-/// An
-///   engine that fails a fraction of its requests gets that fraction of
-///   BackendCostParameters::failurePenalty as a penalty.
+///   An engine that fails a fraction of its requests is penalised by
+///   BackendCostParameters::failurePenalty times that fraction.
 /// - Engines of any speed: the prefill throughput of each service is learned from requests that met
 ///   no queue, and the slowdown of each engine relative to it; see prefill_throughput.hpp.
 /// - New weights: until the preferred engine of a part has loaded them, the first engine of the
-///   order that has replaces it. Engines on older weights get
-///   BackendCostParameters::oldWeightsPenalty as a penalty. They are excluded for requests that
-///   might begin after the platform's period for old weights: an engine with a queue of a second is
-///   excluded a second earlier.
+///   order that has loaded them replaces it. Engines on older weights get a penalty for the value
+///   that an answer loses there, BackendCostParameters::oldWeightsPenalty. They are excluded for
+///   requests that might begin after the platform's period for old weights: an engine with a queue
+///   of a second is excluded a second earlier.
 namespace vanilladyke {
 
 /// @brief Weights that the operator announced for a model.
@@ -71,13 +70,13 @@
     /// Safety margin before the end of the period for old weights: updates arrive late, and clocks
     /// differ.
     static constexpr Duration OldWeightsMargin = std::chrono::milliseconds(1500);
-    static constexpr std::size_t EvaluateAllUpTo =
-            24; ///< up to this many servers of a service, all are evaluated
+    /// All servers of a service are evaluated up to this number.
+    static constexpr std::size_t EvaluateAllUpTo = 24;
     static constexpr std::size_t MaxPendingPlacements = 400;
     /// How long a node reports weights that it loaded; repeated because datagrams may be lost.
     static constexpr Duration ReportWeightsFor = std::chrono::seconds(3);
 
-    /// @param self seed of this node's order of servers, distinct for each node
+    /// @param self seed of this node's own order of servers, distinct for each node
     BackendTracker(DataCentreId here, BackendCostParameters rates, std::uint64_t self = 0);
 
     /// @brief Replaces the list of servers; the state of those that remain is kept.
@@ -224,8 +223,8 @@
     struct CandidateSet
     {
         std::vector<Candidate> available;
-        DataCentreId
-                preferredDataCentre; ///< of the first engine of the part's order, available or not
+        /// Data centre of the first engine of the part's order, available or not.
+        DataCentreId preferredDataCentre;
     };
 
     /// @param more number of servers to evaluate in addition to the usual ones
@@ -257,8 +256,7 @@
     [[nodiscard]] PrefillPlan planPrefill(const State &engine, const State &preferred,
                                           const BackendQuery &query, const KeptStore *store,
                                           TimePoint now) const;
-    [[nodiscard]] const State *fetchSource(const State &engine,
-                                           const PartHolders::Question &question,
+    [[nodiscard]] const State *fetchSource(const State &engine, const PartHolders::Lookup &lookup,
                                            const BackendQuery &query, TimePoint now) const;
     void apply(const PlacementUpdate &update, TimePoint now);
     [[nodiscard]] State *find(const EngineId &id);
--- a/include/vanilladyke/policy/fetch_share.hpp
+++ b/include/vanilladyke/policy/fetch_share.hpp
@@ -20,11 +20,11 @@
 {
 public:
     /// Fraction of the link's capacity that is used; the rest absorbs bursts.
-    static constexpr double LinkPart = 0.6;
-    static constexpr Duration Memory = std::chrono::milliseconds(1000);
+    static constexpr double LinkFraction = 0.6;
+    static constexpr Duration DemandWindow = std::chrono::milliseconds(1000);
 
     /// @brief Records that a node would fetch this many tokens, whether or not it is admitted.
-    void wanted(std::uint64_t store, double tokens, TimePoint now);
+    void recordDemand(std::uint64_t store, double tokens, TimePoint now);
     /// @brief Whether this request may fetch.
     /// @param draw random number in [0, 1), a new one for each request
     [[nodiscard]] bool allows(std::uint64_t store, double linkTokensPerMs, double draw,
--- a/include/vanilladyke/policy/kept_cache_view.hpp
+++ b/include/vanilladyke/policy/kept_cache_view.hpp
@@ -45,16 +45,16 @@
 {
 public:
     /// About a hundred bytes each; when full, new parts are ignored until the store is reset.
-    static constexpr std::size_t MostParts = 65536;
+    static constexpr std::size_t MaxParts = 65536;
     /// How long a part that a node saved is assumed to be in a store that cannot be followed.
-    static constexpr Duration ToldLife = std::chrono::seconds(40);
+    static constexpr Duration SavedLifetime = std::chrono::seconds(40);
 
     /// @brief Sets the configured stores; the state of those that remain is kept.
     void setStores(const std::vector<KeptStore> &stores);
     /// @brief The store that keeps a part: the one in the data centre of its preferred engine.
-    /// @param home that data centre
+    /// @param preferredDataCentre that data centre
     /// @return none if there is no store
-    [[nodiscard]] const KeptStore *storeOf(const DataCentreId &home) const;
+    [[nodiscard]] const KeptStore *storeOf(const DataCentreId &preferredDataCentre) const;
     [[nodiscard]] std::size_t stores() const { return m_stores.size(); }
 
     /// @brief Clears the entries of a store: it restarted, or its contents are unknown.
@@ -73,17 +73,17 @@
     [[nodiscard]] static std::uint64_t keyOf(const std::string &salt, const std::string &part);
 
 private:
-    struct Known
+    struct TrackedStore
     {
         KeptStore store;
         KeptCacheState state = KeptCacheState::Unknown;
         std::unordered_map<std::uint64_t, std::uint32_t> tokens; ///< by key
     };
 
-    [[nodiscard]] const Known *find(const Endpoint &store) const;
+    [[nodiscard]] const TrackedStore *find(const Endpoint &store) const;
 
-    std::vector<Known> m_stores;
-    std::unordered_map<std::uint64_t, TimePoint> m_told; ///< by key
+    std::vector<TrackedStore> m_stores;
+    std::unordered_map<std::uint64_t, TimePoint> m_saved; ///< by key
 };
 
 } // namespace vanilladyke
--- a/include/vanilladyke/policy/part_holders.hpp
+++ b/include/vanilladyke/policy/part_holders.hpp
@@ -22,13 +22,13 @@
 {
 public:
     /// Uses longer ago than this are ignored: too much may have been written that no node reports.
-    static constexpr Duration Life = std::chrono::seconds(30);
+    static constexpr Duration Lifetime = std::chrono::seconds(30);
     /// Lifetime of a use if the capacity of an engine's cache is unknown.
-    static constexpr Duration UnknownLife = std::chrono::seconds(8);
+    static constexpr Duration LifetimeWithoutCapacity = std::chrono::seconds(8);
     /// Fraction of an engine's memory that holds shared parts; running requests take the rest.
-    static constexpr double CachePart = 0.75;
-    static constexpr std::size_t MostHolders = 4; ///< of a part; the oldest is dropped
-    static constexpr std::size_t MostParts = 65536;
+    static constexpr double CacheFraction = 0.75;
+    static constexpr std::size_t MaxHolders = 4; ///< of a part; the oldest is dropped
+    static constexpr std::size_t MaxParts = 65536;
 
     /// @brief A request with the part was sent to the server.
     struct Use
@@ -40,7 +40,7 @@
     };
 
     /// @brief A lookup of a part.
-    struct Question
+    struct Lookup
     {
         std::uint64_t part = 0;
         std::uint64_t weights = 0;
@@ -48,10 +48,10 @@
         std::uint64_t memoryTokens = 0; ///< capacity of an engine's cache; 0: unknown
     };
 
-    void used(const Use &use, TimePoint now);
-    [[nodiscard]] bool holds(const Question &question, std::uint64_t backend, TimePoint now) const;
+    void recordUse(const Use &use, TimePoint now);
+    [[nodiscard]] bool holds(const Lookup &lookup, std::uint64_t backend, TimePoint now) const;
     /// @brief Servers that are predicted to hold the part, the most recently used last.
-    [[nodiscard]] std::vector<std::uint64_t> holders(const Question &question, TimePoint now) const;
+    [[nodiscard]] std::vector<std::uint64_t> holders(const Lookup &lookup, TimePoint now) const;
     /// @brief Servers that were sent the part, whether or not it is still cached.
     [[nodiscard]] std::vector<std::uint64_t> backends(std::uint64_t part) const;
     [[nodiscard]] std::size_t size() const { return m_parts.size(); }
@@ -61,16 +61,16 @@
     {
         std::uint64_t backend = 0;
         std::uint64_t weights = 0;
-        TimePoint at;           ///< last use
-        std::uint64_t mark = 0; ///< tokens written to the engine up to the last use
+        TimePoint at;                   ///< last use
+        std::uint64_t writtenAtUse = 0; ///< tokens written to the engine up to the last use
     };
 
-    [[nodiscard]] bool isThere(const Holder &holder, const Question &question, TimePoint now) const;
-    void forgetOld(TimePoint now);
+    [[nodiscard]] bool isCached(const Holder &holder, const Lookup &lookup, TimePoint now) const;
+    void dropExpired(TimePoint now);
 
     std::unordered_map<std::uint64_t, std::vector<Holder>> m_parts;
     std::unordered_map<std::uint64_t, std::uint64_t> m_written; ///< tokens, by server
-    std::size_t m_sinceCleaning = 0;
+    std::size_t m_usesSinceCleanup = 0;
 };
 
 } // namespace vanilladyke
--- a/include/vanilladyke/policy/wait_limit.hpp
+++ b/include/vanilladyke/policy/wait_limit.hpp
@@ -18,19 +18,19 @@
 namespace vanilladyke {
 
 /// @brief Limits for one request.
-struct WaitTerms
+struct WaitLimits
 {
     Duration target{};  ///< the first token has its full value within this time
     TimePoint deadline; ///< of the caller
     /// Fraction of the target that may be spent waiting; the rest is for the prefill and for
     /// prediction errors.
-    double mostPart = 0.5;
+    double maxFraction = 0.5;
 };
 
 /// @brief When a refused request may retry.
 /// @param waits predicted time until the selected server has processed the backlog ahead
 /// @return none if the request may be sent
-[[nodiscard]] std::optional<TimePoint> refusedUntil(const WaitTerms &terms, Millis waits,
+[[nodiscard]] std::optional<TimePoint> refusedUntil(const WaitLimits &limits, Millis predictedWait,
                                                     TimePoint now);
 
 } // namespace vanilladyke
--- a/src/vanilladyke/policy/backend_choice.cpp
+++ b/src/vanilladyke/policy/backend_choice.cpp
@@ -225,7 +225,7 @@
 }
 
 const BackendTracker::State *BackendTracker::fetchSource(const State &engine,
-                                                         const PartHolders::Question &question,
+                                                         const PartHolders::Lookup &lookup,
                                                          const BackendQuery &query,
                                                          TimePoint now) const
 {
@@ -233,7 +233,7 @@
     if (!m_costs.fetchesFromEngines) {
         return best;
     }
-    for (const std::uint64_t backend : m_holders.holders(question, now)) {
+    for (const std::uint64_t backend : m_holders.holders(lookup, now)) {
         const auto known = m_byHash.find(backend);
         if (known == m_byHash.end() || known->second == &engine) {
             continue;
@@ -241,7 +241,7 @@
         const State &state = *known->second;
         const bool isUsable = state.excludedUntil <= now && state.loadingUntil <= now
                               && !isUnresponsive(state, now)
-                              && weightsOf(state, query.model) == question.weights;
+                              && weightsOf(state, query.model) == lookup.weights;
         best = isUsable ? &state : best; // the most recently used comes last
     }
     return best;
@@ -258,30 +258,30 @@
                                                         const BackendQuery &query,
                                                         const KeptStore *store, TimePoint now) const
 {
-    const PartHolders::Question question{query.partKey(), weightsOf(engine, query.model),
-                                         query.sharedTokens, query.memoryTokens};
-    const std::string salt = cacheSalt(query.model, question.weights, query.isolated);
+    const PartHolders::Lookup lookup{query.partKey(), weightsOf(engine, query.model),
+                                     query.sharedTokens, query.memoryTokens};
+    const std::string salt = cacheSalt(query.model, lookup.weights, query.isolated);
     const bool isKept =
             store != nullptr && query.kept->holds(store->endpoint, salt, query.sharedPart, now);
     // A preferred engine on older weights cannot hold the part under newer ones, so some engine has
     // to prefill it: no penalty.
     const bool isPreferred =
-            &engine == &preferred || weightsOf(preferred, query.model) < question.weights;
+            &engine == &preferred || weightsOf(preferred, query.model) < lookup.weights;
     const auto shared = static_cast<double>(query.sharedTokens);
     PrefillPlan plan;
     plan.tokens = static_cast<double>(query.ownTokens);
     plan.time = prefillTime(engine, plan.tokens, now);
     const Millis sharedTime = prefillTime(engine, shared, now);
-    plan.isCached = m_holders.holds(question, engine.hash, now);
+    plan.isCached = m_holders.holds(lookup, engine.hash, now);
     if (store != nullptr && !isKept && query.kept->state(store->endpoint) != KeptCacheState::Down) {
         plan.saveTo = store->endpoint;
     }
     // Engines transfer faster than a store, whose single link is shared by many engines.
-    const State *holder = fetchSource(engine, question, query, now);
+    const State *holder = fetchSource(engine, lookup, query, now);
     const std::uint64_t storeName = store == nullptr ? 0 : hashOf(store->endpoint);
-    const bool mayFetch = isKept
-                          && m_fetches.allows(storeName, m_costs.keptTokensPerMs,
-                                              drawFor(question.part, now), now);
+    const bool mayFetch =
+            isKept
+            && m_fetches.allows(storeName, m_costs.keptTokensPerMs, drawFor(lookup.part, now), now);
     if (holder != nullptr) {
         plan.fetchFrom = holder->entry.endpoint;
     } else if (mayFetch) {
--- a/src/vanilladyke/policy/backend_fleet_test.cpp
+++ b/src/vanilladyke/policy/backend_fleet_test.cpp
@@ -288,12 +288,12 @@
     bool isRefused(int ms, const BackendQuery &query, const BackendChoice &choice,
                    const TrialEngine &engine, bool isLong)
     {
-        const WaitTerms terms{query.target, at(ms) + std::chrono::seconds(4)};
-        if (!refusedUntil(terms, choice.wait, at(ms))) {
+        const WaitLimits limits{query.target, at(ms) + std::chrono::seconds(4)};
+        if (!refusedUntil(limits, choice.wait, at(ms))) {
             return false;
         }
         ++(isLong ? m_result.refusedLongs : m_result.refusedShorts);
-        const double most = terms.mostPart * Millis(query.target).count();
+        const double most = limits.maxFraction * Millis(query.target).count();
         m_result.falselyRefused += engine.backlogMs(ms) < most ? 1 : 0;
         return true;
     }
--- a/src/vanilladyke/policy/backend_roster.cpp
+++ b/src/vanilladyke/policy/backend_roster.cpp
@@ -13,15 +13,15 @@
     last = entry.heartbeat;
     static_cast<void>(now);
     auto [place, isNew] = m_entries.try_emplace(entry.id);
-    Known &known = place->second;
+    TrackedEntry &known = place->second;
     const BackendEntry &old = known.entry;
     // A draining server does not return under the same id.
     entry.isDraining = entry.isDraining || (!isNew && old.isDraining);
-    const bool changed = isNew || known.goneAt || old.isDraining != entry.isDraining
+    const bool changed = isNew || known.dropAt || old.isDraining != entry.isDraining
                          || old.endpoint != entry.endpoint || old.service != entry.service
                          || old.weights != entry.weights || old.slots != entry.slots;
     known.entry = std::move(entry);
-    known.goneAt.reset();
+    known.dropAt.reset();
     return changed;
 }
 
@@ -38,24 +38,24 @@
     std::erase_if(m_removed,
                   [now](const auto &item) { return now - item.second.second >= LapseWindow; });
     if (isLapse(now)) {
-        revive(now);
+        restoreLapsed(now);
     }
     return true;
 }
 
 bool BackendRoster::isLapse(TimePoint now) const
 {
-    const bool storeWasAway =
-            m_lastTrouble != TimePoint::min() && now - m_lastTrouble < TroubleMemory;
-    constexpr std::size_t LeastLapsed = 2;
+    const bool storeFailedRecently =
+            m_lastStoreFailure != TimePoint::min() && now - m_lastStoreFailure < StoreFailureWindow;
+    constexpr std::size_t MinLapsed = 2;
     const std::size_t lapsed = m_removed.size();
-    return storeWasAway && lapsed >= LeastLapsed && 2 * lapsed > m_entries.size() + lapsed;
+    return storeFailedRecently && lapsed >= MinLapsed && 2 * lapsed > m_entries.size() + lapsed;
 }
 
-void BackendRoster::revive(TimePoint now)
+void BackendRoster::restoreLapsed(TimePoint now)
 {
     for (auto &[id, removed] : m_removed) {
-        m_entries[id] = {removed.first, now + ReturnTime};
+        m_entries[id] = {removed.first, now + RewriteGrace};
     }
     m_removed.clear();
 }
@@ -64,7 +64,7 @@
 {
     return std::erase_if(m_entries,
                          [now](const auto &item) {
-                             return item.second.goneAt && now >= *item.second.goneAt;
+                             return item.second.dropAt && now >= *item.second.dropAt;
                          })
            > 0;
 }
--- a/src/vanilladyke/policy/backend_slots_test.cpp
+++ b/src/vanilladyke/policy/backend_slots_test.cpp
@@ -176,8 +176,8 @@
         query.ownTokens = static_cast<std::uint64_t>(OwnTokens);
         query.target = milliseconds(static_cast<int>(TargetMs));
         const auto choice = m_nodes[request.node].choose(query, at(ms));
-        const WaitTerms terms{query.target, at(ms) + std::chrono::seconds(6)};
-        if (!choice || refusedUntil(terms, choice->wait, at(ms))) {
+        const WaitLimits limits{query.target, at(ms) + std::chrono::seconds(6)};
+        if (!choice || refusedUntil(limits, choice->wait, at(ms))) {
             ++m_outcome.refused;
             return;
         }
--- a/src/vanilladyke/policy/backend_tracker.cpp
+++ b/src/vanilladyke/policy/backend_tracker.cpp
@@ -164,9 +164,9 @@
 
 void BackendTracker::apply(const PlacementUpdate &update, TimePoint now)
 {
-    m_holders.used({update.part, update.backend, update.weights, update.written}, now);
+    m_holders.recordUse({update.part, update.backend, update.weights, update.written}, now);
     if (update.store != 0) {
-        m_fetches.wanted(update.store, static_cast<double>(update.wanted), now);
+        m_fetches.recordDemand(update.store, static_cast<double>(update.wanted), now);
     }
 }
 
--- a/src/vanilladyke/policy/fetch_share_test.cpp
+++ b/src/vanilladyke/policy/fetch_share_test.cpp
@@ -28,7 +28,7 @@
     for (int ms = 0; ms < RunMs; ms += everyMs) {
         const bool isAllowed = share.allows(Store, LinkTokensPerMs, uniform(random), at(ms));
         fetched += isAllowed && ms >= KnownFromMs ? Tokens : 0;
-        share.wanted(Store, Tokens, at(ms));
+        share.recordDemand(Store, Tokens, at(ms));
     }
     return fetched / (LinkTokensPerMs * (RunMs - KnownFromMs));
 }
@@ -41,13 +41,13 @@
 // The demand is three times the capacity of the link.
 TEST(FetchShare, OfMoreThanTheLinkCarriesAShareIsFetched)
 {
-    EXPECT_NEAR(linkUse(7), FetchShare::LinkPart, 0.08);
+    EXPECT_NEAR(linkUse(7), FetchShare::LinkFraction, 0.08);
 }
 
 TEST(FetchShare, WhatWasWantedLongAgoDoesNotCount)
 {
     FetchShare share;
-    share.wanted(Store, 1e9, at(0));
+    share.recordDemand(Store, 1e9, at(0));
     EXPECT_FALSE(share.allows(Store, LinkTokensPerMs, 0.5, at(0)));
     EXPECT_TRUE(share.allows(Store, LinkTokensPerMs, 0.5, at(30'000)));
     EXPECT_TRUE(share.allows(Store + 1, LinkTokensPerMs, 0.5, at(0)));
--- a/src/vanilladyke/policy/kept_cache_view.cpp
+++ b/src/vanilladyke/policy/kept_cache_view.cpp
@@ -17,42 +17,44 @@
     return XXH3_64bits_withSeed(part.data(), part.size(), XXH3_64bits(salt.data(), salt.size()));
 }
 
-const KeptCacheView::Known *KeptCacheView::find(const Endpoint &store) const
+const KeptCacheView::TrackedStore *KeptCacheView::find(const Endpoint &store) const
 {
-    const auto found = std::find_if(m_stores.begin(), m_stores.end(), [&](const Known &each) {
-        return each.store.endpoint == store;
-    });
+    const auto found =
+            std::find_if(m_stores.begin(), m_stores.end(),
+                         [&](const TrackedStore &each) { return each.store.endpoint == store; });
     return found == m_stores.end() ? nullptr : &*found;
 }
 
 void KeptCacheView::setStores(const std::vector<KeptStore> &stores)
 {
-    std::vector<Known> next;
+    std::vector<TrackedStore> next;
     for (const KeptStore &store : stores) {
-        const Known *known = find(store.endpoint);
-        next.push_back(known == nullptr ? Known{store, KeptCacheState::Unknown, {}} : *known);
+        const TrackedStore *known = find(store.endpoint);
+        next.push_back(known == nullptr ? TrackedStore{store, KeptCacheState::Unknown, {}}
+                                        : *known);
         next.back().store = store;
     }
     m_stores = std::move(next);
 }
 
-const KeptStore *KeptCacheView::storeOf(const DataCentreId &home) const
+const KeptStore *KeptCacheView::storeOf(const DataCentreId &preferredDataCentre) const
 {
     if (m_stores.empty()) {
         return nullptr;
     }
-    const auto beside = std::find_if(m_stores.begin(), m_stores.end(), [&](const Known &each) {
-        return each.store.dataCentre == home;
-    });
-    if (beside != m_stores.end()) {
-        return &beside->store;
+    const auto local =
+            std::find_if(m_stores.begin(), m_stores.end(), [&](const TrackedStore &each) {
+                return each.store.dataCentre == preferredDataCentre;
+            });
+    if (local != m_stores.end()) {
+        return &local->store;
     }
-    return &m_stores[hashOfName(home.str()) % m_stores.size()].store;
+    return &m_stores[hashOfName(preferredDataCentre.str()) % m_stores.size()].store;
 }
 
 void KeptCacheView::reset(const Endpoint &store, KeptCacheState state)
 {
-    for (Known &each : m_stores) {
+    for (TrackedStore &each : m_stores) {
         if (each.store.endpoint == store) {
             each.state = state;
             each.tokens.clear();
@@ -64,13 +66,13 @@
                             std::uint64_t tokens)
 {
     const std::uint64_t key = keyOf(salt, part);
-    for (Known &each : m_stores) {
+    for (TrackedStore &each : m_stores) {
         if (each.store.endpoint != store) {
             continue;
         }
         if (tokens == 0) {
             each.tokens.erase(key);
-        } else if (each.tokens.size() < MostParts || each.tokens.contains(key)) {
+        } else if (each.tokens.size() < MaxParts || each.tokens.contains(key)) {
             each.tokens[key] = static_cast<std::uint32_t>(tokens);
         }
     }
@@ -78,24 +80,25 @@
 
 void KeptCacheView::recordSaved(std::uint64_t key, TimePoint now)
 {
-    if (m_told.size() >= MostParts) {
-        std::erase_if(m_told, [now](const auto &item) { return now - item.second >= ToldLife; });
+    if (m_saved.size() >= MaxParts) {
+        std::erase_if(m_saved,
+                      [now](const auto &item) { return now - item.second >= SavedLifetime; });
     }
-    if (m_told.size() < MostParts) {
-        m_told[key] = now;
+    if (m_saved.size() < MaxParts) {
+        m_saved[key] = now;
     }
 }
 
 KeptCacheState KeptCacheView::state(const Endpoint &store) const
 {
-    const Known *known = find(store);
+    const TrackedStore *known = find(store);
     return known == nullptr ? KeptCacheState::Down : known->state;
 }
 
 bool KeptCacheView::holds(const Endpoint &store, const std::string &salt, const std::string &part,
                           TimePoint now) const
 {
-    const Known *known = find(store);
+    const TrackedStore *known = find(store);
     if (known == nullptr || known->state == KeptCacheState::Down) {
         return false;
     }
@@ -103,14 +106,14 @@
     if (known->state == KeptCacheState::Followed) {
         return known->tokens.contains(key);
     }
-    const auto told = m_told.find(key);
-    return told != m_told.end() && now - told->second < ToldLife;
+    const auto saved = m_saved.find(key);
+    return saved != m_saved.end() && now - saved->second < SavedLifetime;
 }
 
 std::size_t KeptCacheView::size() const
 {
-    std::size_t all = m_told.size();
-    for (const Known &each : m_stores) {
+    std::size_t all = m_saved.size();
+    for (const TrackedStore &each : m_stores) {
         all += each.tokens.size();
     }
     return all;
--- a/src/vanilladyke/policy/kept_cache_view_test.cpp
+++ b/src/vanilladyke/policy/kept_cache_view_test.cpp
@@ -57,7 +57,7 @@
     EXPECT_FALSE(view.holds(storeHere, "s", "p", start));
     view.recordSaved(KeptCacheView::keyOf("s", "p"), start);
     EXPECT_TRUE(view.holds(storeHere, "s", "p", start));
-    EXPECT_FALSE(view.holds(storeHere, "s", "p", start + KeptCacheView::ToldLife))
+    EXPECT_FALSE(view.holds(storeHere, "s", "p", start + KeptCacheView::SavedLifetime))
             << "it may have been evicted";
     view.reset(storeHere, KeptCacheState::Followed);
     EXPECT_FALSE(view.holds(storeHere, "s", "p", start))
@@ -90,10 +90,10 @@
 TEST(KeptCacheView, ItsSizeIsBounded)
 {
     KeptCacheView view = viewOf(KeptCacheState::Followed);
-    for (std::size_t i = 0; i < KeptCacheView::MostParts + 100; ++i) {
+    for (std::size_t i = 0; i < KeptCacheView::MaxParts + 100; ++i) {
         view.changed(storeHere, "s", std::to_string(i), 1);
     }
-    EXPECT_EQ(view.size(), KeptCacheView::MostParts);
+    EXPECT_EQ(view.size(), KeptCacheView::MaxParts);
 }
 
 } // namespace
--- a/src/vanilladyke/policy/learning_test.cpp
+++ b/src/vanilladyke/policy/learning_test.cpp
@@ -53,44 +53,44 @@
 TEST(HotPrefixes, AHotPrefixGetsMoreHomesAndGivesThemUpWhenItCools)
 {
     HotPrefixes hot;
-    const ChainHash bulletin{1, 1};
+    const ChainHash prefix{1, 1};
     TimePoint now;
     std::uint32_t preferred = 0;
     for (int i = 0; i < 3000; ++i) {
         now += milliseconds(10);
-        preferred = hot.note(bulletin, std::chrono::milliseconds(20), 1, now);
+        preferred = hot.note(prefix, std::chrono::milliseconds(20), 1, now);
     }
     EXPECT_EQ(preferred, 4U); // 100 a second at 20 ms fill two engines; at 60 % utilisation, four
     now += seconds(60);
-    EXPECT_EQ(hot.note(bulletin, std::chrono::milliseconds(20), 1, now), 1U);
+    EXPECT_EQ(hot.note(prefix, std::chrono::milliseconds(20), 1, now), 1U);
 }
 
 TEST(HotPrefixes, ASmallChangeOfRateKeepsTheHomes)
 {
     HotPrefixes hot;
-    const ChainHash guide{1, 1};
+    const ChainHash prefix{1, 1};
     TimePoint now;
     for (int i = 0; i < 3000; ++i) {
         now += milliseconds(10);
-        static_cast<void>(hot.note(guide, std::chrono::milliseconds(20), 1, now));
+        static_cast<void>(hot.note(prefix, std::chrono::milliseconds(20), 1, now));
     }
     for (int i = 0; i < 1000; ++i) {
         now += milliseconds(12);
-        EXPECT_EQ(hot.note(guide, std::chrono::milliseconds(20), 1, now), 4U);
+        EXPECT_EQ(hot.note(prefix, std::chrono::milliseconds(20), 1, now), 4U);
     }
 }
 
 TEST(HotPrefixes, StaysBoundedAndKeepsTheHotOnes)
 {
     HotPrefixes hot;
-    const ChainHash guide{1, 1};
+    const ChainHash prefix{1, 1};
     TimePoint now;
     std::uint32_t preferred = 0;
     for (std::uint64_t i = 0; i < 20'000; ++i) {
         now += milliseconds(1);
         static_cast<void>(hot.note({2, i}, std::chrono::milliseconds(20), 1, now));
         if (i % 10 == 0) {
-            preferred = hot.note(guide, std::chrono::milliseconds(20), 1, now);
+            preferred = hot.note(prefix, std::chrono::milliseconds(20), 1, now);
         }
     }
     EXPECT_EQ(preferred, 4U);
--- a/src/vanilladyke/policy/wait_limit.cpp
+++ b/src/vanilladyke/policy/wait_limit.cpp
@@ -2,16 +2,16 @@
 
 namespace vanilladyke {
 
-std::optional<TimePoint> refusedUntil(const WaitTerms &terms, Millis waits, TimePoint now)
+std::optional<TimePoint> refusedUntil(const WaitLimits &limits, Millis predictedWait, TimePoint now)
 {
-    const Millis most = terms.mostPart * Millis(terms.target);
-    const auto wait = std::chrono::duration_cast<Duration>(waits);
-    if (waits <= most && now + wait < terms.deadline) {
+    const Millis most = limits.maxFraction * Millis(limits.target);
+    const auto wait = std::chrono::duration_cast<Duration>(predictedWait);
+    if (predictedWait <= most && now + wait < limits.deadline) {
         return std::nullopt;
     }
     // By then the excess and half of the permitted wait have drained, so that other callers that
     // retry at the same time find capacity as well.
-    return now + std::chrono::duration_cast<Duration>(waits - most / 2);
+    return now + std::chrono::duration_cast<Duration>(predictedWait - most / 2);
 }
 
 } // namespace vanilladyke
--- a/src/vanilladyke/policy/wait_limit_test.cpp
+++ b/src/vanilladyke/policy/wait_limit_test.cpp
@@ -14,19 +14,19 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds Target{800};
-constexpr milliseconds Patience{3200};
+constexpr milliseconds CallerTimeout{3200};
 
 struct Outcome
 {
     int inTarget = 0;
     int late = 0;
-    int left = 0;    ///< callers without an answer at their deadlines
-    int refused = 0; ///< refused twice; they do not retry again
+    int abandoned = 0; ///< callers without an answer at their deadlines
+    int refused = 0;   ///< refused twice; they do not retry again
 };
 
 /// Callers that retry once at the given time, and an engine that prefills one prompt after the
 /// other.
-Outcome replay(double load, double mostPart, std::uint64_t seed)
+Outcome replay(double load, double maxFraction, std::uint64_t seed)
 {
     constexpr double ReadMs = 100;
     constexpr int RunMs = 20'000;
@@ -52,9 +52,9 @@
     while (!arrivals.empty()) {
         const Arrival now = arrivals.top();
         arrivals.pop();
-        const Millis waits(std::max(0.0, freeAt - now.at));
-        const WaitTerms terms{Target, pointAt(now.at) + Patience, mostPart};
-        if (const auto until = refusedUntil(terms, waits, pointAt(now.at))) {
+        const Millis predictedWait(std::max(0.0, freeAt - now.at));
+        const WaitLimits limits{Target, pointAt(now.at) + CallerTimeout, maxFraction};
+        if (const auto until = refusedUntil(limits, predictedWait, pointAt(now.at))) {
             if (now.isSecond) {
                 ++outcome.refused;
             } else {
@@ -65,8 +65,8 @@
         freeAt = std::max(freeAt, now.at) + ReadMs;
         const double took = freeAt - now.first;
         outcome.inTarget += took <= Target.count() ? 1 : 0;
-        outcome.late += took > Target.count() && freeAt - now.at <= Patience.count() ? 1 : 0;
-        outcome.left += freeAt - now.at > Patience.count() ? 1 : 0;
+        outcome.late += took > Target.count() && freeAt - now.at <= CallerTimeout.count() ? 1 : 0;
+        outcome.abandoned += freeAt - now.at > CallerTimeout.count() ? 1 : 0;
     }
     return outcome;
 }
@@ -83,7 +83,7 @@
         EXPECT_GT(limited.inTarget, 3 * sentOn.inTarget) << seed;
         EXPECT_GT(limited.inTarget + limited.late, 0.9 * 200)
                 << "the engine is idle, seed " << seed;
-        EXPECT_EQ(limited.left, 0) << seed;
+        EXPECT_EQ(limited.abandoned, 0) << seed;
     }
 }
 
@@ -106,7 +106,7 @@
 TEST(WaitLimit, WhatThePromptItselfTakesIsNoReasonToRefuse)
 {
     const TimePoint now(std::chrono::hours(1));
-    EXPECT_FALSE(refusedUntil({Target, now + Patience, 0.5}, Millis(0), now));
+    EXPECT_FALSE(refusedUntil({Target, now + CallerTimeout, 0.5}, Millis(0), now));
     EXPECT_TRUE(refusedUntil({Target, now + milliseconds(50), 0.5}, Millis(100), now));
 }
 
@@ -114,7 +114,7 @@
 TEST(WaitLimit, TheTimeToComeBackFollowsFromTheWait)
 {
     const TimePoint now(std::chrono::hours(1));
-    const auto until = refusedUntil({Target, now + Patience, 0.5}, Millis(1000), now);
+    const auto until = refusedUntil({Target, now + CallerTimeout, 0.5}, Millis(1000), now);
     ASSERT_TRUE(until);
     EXPECT_EQ(*until, now + milliseconds(800));
 }
