--- a/src/vanilladyke/policy/backend_fleet_test.cpp
+++ b/src/vanilladyke/policy/backend_fleet_test.cpp
@@ -375,7 +375,7 @@
 // 72 nodes and 72 engines at one and a half times the usual load, with more parts than all engines
 // hold. Guards against updates on long prompts that are half a second late, so that every node
 // selects the engines that were idle then.
-TEST(BackendFleet, LongPromptsThatAreToldAtOnceDoNotMeet)
+TEST(BackendFleet, PlacementUpdatesSentAtOnceKeepLongPromptsApart)
 {
     const Result now = simulate(scaled(1.5));
     Load late = scaled(1.5);
@@ -392,7 +392,7 @@
 
 // Half of the long prompts would be fetched from the only store of the fleet, whose link carries a
 // fifth of them. Guards against a queue of seconds there.
-TEST(BackendFleet, OneStoreForAllIsNotQueuedAt)
+TEST(BackendFleet, ASingleStoreIsNotOverloaded)
 {
     Load load = scaled(1.0);
     load.stores = 1;
@@ -403,7 +403,7 @@
 }
 
 // With a store in each of three data centres, nearly all parts that an engine evicted are fetched.
-TEST(BackendFleet, AStoreInEachDataCentreSavesNearlyAllSecondReads)
+TEST(BackendFleet, AStoreInEachDataCentreSavesNearlyAllRepeatedPrefills)
 {
     Load load = scaled(1.0);
     load.parts = 1023;
@@ -433,7 +433,7 @@
 // Engines are busy for a fifth of the time, and each long prompt is prefilled a tenth of a second
 // after it was sent, while the next update of its node follows seconds later. Guards against
 // refusing callers although every engine is idle.
-TEST(BackendFleet, WhatWasToldSecondsAgoRefusesNobody)
+TEST(BackendFleet, LoadReportedSecondsAgoRefusesNobody)
 {
     const Result result = simulate(largeFleet(1));
     EXPECT_EQ(result.refusedLongs + result.refusedShorts, 0);
@@ -443,7 +443,7 @@
 // The load is three times as high. The few engines that a node evaluates for a long prompt
 // occasionally have a queue while others are idle. Guards against refusing a caller although there
 // is capacity.
-TEST(BackendFleet, OthersAreWeighedBeforeAnybodyIsRefused)
+TEST(BackendFleet, FurtherServersAreEvaluatedBeforeARequestIsRefused)
 {
     const Result result = simulate(largeFleet(3));
     EXPECT_EQ(result.falselyRefused, 0);
--- a/src/vanilladyke/policy/backend_roster_test.cpp
+++ b/src/vanilladyke/policy/backend_roster_test.cpp
@@ -22,7 +22,7 @@
     return result;
 }
 
-TEST(BackendRoster, LeavesOutServersThatDrain)
+TEST(BackendRoster, ExcludesDrainingServers)
 {
     BackendRoster roster;
     EXPECT_TRUE(roster.put(entry("a", 1), at(0)));
@@ -42,7 +42,7 @@
     EXPECT_TRUE(roster.serving().empty());
 }
 
-TEST(BackendRoster, AnEntryThatGoesAwayWhileTheStoreIsSoundIsOutAtOnce)
+TEST(BackendRoster, AnEntryRemovedWhileTheStoreIsAvailableTakesEffectAtOnce)
 {
     BackendRoster roster;
     roster.put(entry("a", 1), at(0));
@@ -52,7 +52,7 @@
 
 // The store was unavailable for longer than three heartbeats, and all entries lapsed. Guards
 // against reading the empty list as the removal of every server, so that callers would be refused.
-TEST(BackendRoster, EntriesThatLapsedWithTheStoreAreKeptUntilTheirServersCanWriteAgain)
+TEST(BackendRoster, EntriesThatLapsedDuringAStoreFailureAreKeptUntilServersCanWriteAgain)
 {
     BackendRoster roster;
     roster.put(entry("a", 1), at(0));
@@ -71,7 +71,7 @@
 // Only this node lost its connection to the store. Just after it returns, a server leaves without
 // draining. Guards against keeping its entry as a lapsed one, so that it would get requests after
 // it is gone.
-TEST(BackendRoster, OneServerThatLeavesAfterTroubleIsOutAtOnce)
+TEST(BackendRoster, OneServerThatLeavesAfterAStoreFailureIsRemovedAtOnce)
 {
     BackendRoster roster;
     for (const char *id : {"a", "b", "c"}) {
@@ -82,7 +82,7 @@
     EXPECT_EQ(roster.serving().size(), 2U);
 }
 
-TEST(BackendRoster, AWholeListTakesOutWhatItLacks)
+TEST(BackendRoster, ACompleteListRemovesMissingEntries)
 {
     BackendRoster roster;
     roster.put(entry("a", 1), at(0));
--- a/src/vanilladyke/policy/backend_slots_test.cpp
+++ b/src/vanilladyke/policy/backend_slots_test.cpp
@@ -230,7 +230,7 @@
 // Guards against callers waiting for a slot at the hot part's preferred engine, because each
 // request ahead was assumed to take 30 ms whatever the engine's answers and slots, while other
 // engines have free slots.
-TEST(BackendSlots, AHotPartThatShiftsMakesHardlyAnybodyLateWhereAnswersAreShort)
+TEST(BackendSlots, AChangingHotPartCausesFewLateFirstTokensWithShortAnswers)
 {
     Outcome all;
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
--- a/src/vanilladyke/policy/backend_tracker_test.cpp
+++ b/src/vanilladyke/policy/backend_tracker_test.cpp
@@ -58,7 +58,7 @@
 
 // Guards against several requests using one token of a rate limit while they wait for their
 // connections.
-TEST(BackendTracker, ATokenThatAnotherRequestTookMeanwhileIsGone)
+TEST(BackendTracker, ARateLimitTokenIsUsedOnlyOnce)
 {
     BackendTracker tracker(hereCentre, {});
     tracker.setBackends(fleet(1));
@@ -75,7 +75,7 @@
 
 // Guards against calls of a plain service being refused or moved because each call ahead of them
 // was assumed to take 30 ms, whatever the service's calls take.
-TEST(BackendTracker, ACallWithoutASlotWaitsForTheServicesOwnCalls)
+TEST(BackendTracker, PredictedSlotWaitFollowsTheServicesOwnCallTimes)
 {
     constexpr int Slots = 6;
     constexpr int CallMs = 120;
@@ -102,7 +102,7 @@
 
 // Guards against nodes without any cache updates choosing different engines for a shared part, each
 // of which would then prefill it.
-TEST(BackendTracker, NodesThatDoNotTalkSendASharedPartToTheSameEngine)
+TEST(BackendTracker, NodesWithoutUpdatesSendASharedPartToTheSameEngine)
 {
     BackendTracker one(hereCentre, {});
     BackendTracker two(hereCentre, {});
@@ -127,7 +127,7 @@
 // New weights are loaded on a third of 120 engines, and the preferred engines of most parts still
 // run older ones. Guards against sending two thirds of the long prompts to replaced weights, and
 // against each node choosing a different engine on new weights, which would repeat the prefill.
-TEST(BackendTracker, AnEngineOnNewWeightsStandsInForAHomeThatHasOlderOnes)
+TEST(BackendTracker, AnEngineOnNewWeightsReplacesAPreferredEngineOnOlderOnes)
 {
     BackendTracker one(hereCentre, {}, 1);
     BackendTracker two(hereCentre, {}, 2);
@@ -150,7 +150,7 @@
 
 // A third of all requests have the same shared part within a second. Guards against queueing all of
 // them at the preferred engine while other engines are idle.
-TEST(BackendTracker, AHotPartSpreadsWhenWaitingCostsMoreThanReading)
+TEST(BackendTracker, AHotPartSpreadsWhenTheWaitCostsMoreThanThePrefill)
 {
     BackendTracker tracker(hereCentre, {});
     tracker.setBackends(fleet(18));
@@ -189,7 +189,7 @@
 // Long prompts of low urgency wait for two seconds at the engine that has an urgent request's
 // prompt cached. The urgent request overtakes them there; at another engine its prompt would be
 // prefilled again.
-TEST(BackendTracker, WhatIsLessUrgentIsNotWaitedFor)
+TEST(BackendTracker, LessUrgentRequestsDoNotCountAsBacklog)
 {
     BackendTracker tracker(hereCentre, {});
     tracker.setBackends(fleet(6));
@@ -211,7 +211,7 @@
 
 // Many prompts have a common beginning and differ in a few tokens. Guards against giving each a
 // preferred engine of its own, so that every engine would prefill the common beginning.
-TEST(BackendTracker, PartsThatBeginAlikeHaveOneHome)
+TEST(BackendTracker, PartsWithACommonBeginningHaveTheSamePreferredEngine)
 {
     BackendTracker tracker(hereCentre, {});
     tracker.setBackends(fleet(18));
@@ -227,7 +227,7 @@
 
 // An engine's host stops answering while connections stay open. Guards against sending requests
 // there, which would end at their deadlines.
-TEST(BackendTracker, AnEngineThatGoesSilentIsAvoided)
+TEST(BackendTracker, AnUnresponsiveEngineIsAvoided)
 {
     BackendTracker tracker(hereCentre, {});
     tracker.setBackends(fleet(3));
@@ -261,7 +261,7 @@
 
 // Newer weights are announced while earlier ones are still being loaded. Each announcement has its
 // own period; counted from the last one, an engine two versions behind would stay available.
-TEST(BackendTracker, EachNamedVersionClosesOlderEnginesInItsOwnTime)
+TEST(BackendTracker, EachAnnouncedVersionExcludesOlderEnginesAfterItsOwnPeriod)
 {
     BackendTracker tracker(hereCentre, {});
     auto entries = fleet(2, 1);
@@ -278,7 +278,7 @@
             << "both versions are past their periods";
 }
 
-TEST(BackendTracker, ANodeThatLearnsThatWeightsAreOlderClosesSooner)
+TEST(BackendTracker, AnEarlierAnnouncementTimeExcludesOldWeightsSooner)
 {
     BackendTracker tracker(hereCentre, {});
     tracker.setBackends(fleet(1, 1));
@@ -288,7 +288,7 @@
     EXPECT_FALSE(tracker.choose(longPrompt(1), at(5000)));
 }
 
-TEST(BackendTracker, TellsWhenAClosedServerOpensAgain)
+TEST(BackendTracker, ReportsWhenAnExcludedServerIsAvailableAgain)
 {
     BackendTracker tracker(hereCentre, {});
     tracker.setBackends(fleet(1));
@@ -304,7 +304,7 @@
 }
 
 // An engine loaded new weights, and a refusal reaches this node before the updated entry does.
-TEST(BackendTracker, ARefusedVersionMeansThatTheNewestIsThere)
+TEST(BackendTracker, ARefusedVersionMeansThatTheNewestIsLoaded)
 {
     BackendTracker tracker(hereCentre, {});
     tracker.setBackends(fleet(1, 1));
@@ -325,7 +325,7 @@
 
 // Six nodes each send a sixth of the long prompts. Guards against all of them selecting an engine
 // that is busy with requests of the others.
-TEST(BackendTracker, WhatOtherNodesHaveWaitingCountsAsOwn)
+TEST(BackendTracker, TheBacklogOfOtherNodesCountsAsOwn)
 {
     BackendTracker here(hereCentre, {});
     BackendTracker there(hereCentre, {});
@@ -342,7 +342,7 @@
     EXPECT_EQ(here.choose(longPrompt(1), at(4))->backend.id, preferred->backend.id);
 }
 
-TEST(BackendTracker, TheLoadOfANodeThatFellSilentIsForgotten)
+TEST(BackendTracker, TheLoadOfANodeWithoutUpdatesExpires)
 {
     BackendTracker tracker(hereCentre, {});
     tracker.setBackends(fleet(1));
@@ -356,7 +356,7 @@
 
 // Guards against a feedback loop among 72 nodes: if each forwarded the received end of a load,
 // every hop would move it by the hop's delay, and the engine would stay excluded.
-TEST(BackendTracker, ALoadThatNodesOnlyHeardOfIsNotPassedOn)
+TEST(BackendTracker, AReceivedLoadOfWeightsIsNotForwarded)
 {
     const EngineId engine("e0");
     BackendTracker orderer(hereCentre, {});
@@ -384,7 +384,7 @@
 // The node that ordered a load has no request at the engine when the load ends. Guards against it
 // reporting only servers at which it has some: others would send requests for the old weights until
 // they are refused.
-TEST(BackendTracker, NewWeightsAreToldThoughTheNodeHasNoRequestThere)
+TEST(BackendTracker, NewWeightsAreReportedWithoutRequestsAtTheServer)
 {
     BackendTracker orderer(hereCentre, {});
     BackendTracker other(hereCentre, {});
@@ -397,7 +397,7 @@
 }
 
 // A load ends earlier than announced: the engine is available as soon as the update arrives.
-TEST(BackendTracker, AnEngineIsOpenAgainWhenItsNewWeightsAreHeardOf)
+TEST(BackendTracker, AnEngineIsAvailableWhenTheUpdateOnItsNewWeightsArrives)
 {
     BackendTracker tracker(hereCentre, {});
     tracker.setBackends(fleet(1));
@@ -412,7 +412,7 @@
 
 // Each of many nodes sends a part too rarely to know where it is cached. Guards against a prefill
 // by the next engine when the preferred one is unavailable, although a third one has the part.
-TEST(BackendTracker, APartIsFetchedFromWhereAnotherNodeSentIt)
+TEST(BackendTracker, APartIsFetchedFromTheEngineToWhichAnotherNodeSentIt)
 {
     BackendTracker here(hereCentre, {});
     BackendTracker there(hereCentre, {});
@@ -435,7 +435,7 @@
 
 // Guards against concentrating prompts that share fifty tokens with a fifth of all others on one
 // engine, for a part that every engine prefills in half a millisecond.
-TEST(BackendTracker, APartThatIsCheapToReadHasNoHome)
+TEST(BackendTracker, APartWithAShortPrefillHasNoPreferredEngine)
 {
     BackendTracker tracker(hereCentre, {});
     tracker.setBackends(fleet(18));
@@ -450,7 +450,7 @@
 }
 
 // The node that ordered a load reports it to the others before the engine has refused anything.
-TEST(BackendTracker, AnEngineThatAnotherNodeOrderedIsLeftOutUntilItHasLoaded)
+TEST(BackendTracker, AnEngineIsExcludedDuringALoadOrderedByAnotherNode)
 {
     BackendTracker here(hereCentre, {});
     BackendTracker orderer(hereCentre, {});
@@ -527,7 +527,7 @@
 // preferred engines. Engines would hold copies of everything and evict each other's parts until all
 // are prefilled again. Under an even load most requests of a part have to stay at its preferred
 // engine.
-TEST(BackendTracker, AnEvenLoadStaysAtItsHomesThoughLoadsAreShared)
+TEST(BackendTracker, AnEvenLoadStaysAtItsPreferredEnginesWithSharedLoadUpdates)
 {
     BackendCostParameters withoutPenalties;
     withoutPenalties.copyPenalty = 0;
--- a/src/vanilladyke/policy/engine_limit_test.cpp
+++ b/src/vanilladyke/policy/engine_limit_test.cpp
@@ -142,7 +142,7 @@
 
 // Guards against each node using the limit as its own or ignoring it: the sum would be several
 // times the limit.
-TEST(EngineLimit, ReplayOfNineNodesKeepsTheSum)
+TEST(EngineLimit, SimulationOfNineNodesKeepsTheLimit)
 {
     for (const double limit : {0.5, 1.0, 2.5, 5.0, 20.0}) {
         for (const double demand : {4.0, 15.0, 60.0}) {
@@ -153,7 +153,7 @@
 
 // Updates of hundreds of nodes are half a second old. Guards against each node taking the same
 // token.
-TEST(EngineLimit, ReplayOfHundredsOfNodesKeepsTheSum)
+TEST(EngineLimit, SimulationOfHundredsOfNodesKeepsTheLimit)
 {
     for (const double limit : {1.0, 5.0}) {
         for (const double demand : {15.0, 60.0}) {
@@ -163,7 +163,7 @@
 }
 
 // Guards against nodes that received no answer of the engine themselves sending without a limit.
-TEST(EngineLimit, HoldsAtNodesThatOnlyHearOfIt)
+TEST(EngineLimit, AppliesAtNodesThatOnlyReceiveTheUpdate)
 {
     EngineLimit first;
     EngineLimit second;
@@ -204,7 +204,7 @@
 
 // Guards against never sending to an engine with a limit of zero, which would hide the end of the
 // limit.
-TEST(EngineLimit, AnEngineThatTakesNothingIsAskedNowAndThen)
+TEST(EngineLimit, AnEngineWithALimitOfZeroIsProbed)
 {
     EngineLimit limit;
     static_cast<void>(limit.observed(0, Start));
--- a/src/vanilladyke/policy/fetch_share_test.cpp
+++ b/src/vanilladyke/policy/fetch_share_test.cpp
@@ -33,18 +33,18 @@
     return fetched / (LinkTokensPerMs * (RunMs - KnownFromMs));
 }
 
-TEST(FetchShare, WhatTheLinkCanCarryIsAllFetched)
+TEST(FetchShare, DemandWithinTheLinkCapacityIsFetchedCompletely)
 {
     EXPECT_NEAR(linkUse(40), 13'300 / (40 * LinkTokensPerMs), 0.01);
 }
 
 // The demand is three times the capacity of the link.
-TEST(FetchShare, OfMoreThanTheLinkCarriesAShareIsFetched)
+TEST(FetchShare, DemandAboveTheLinkCapacityIsFetchedInPart)
 {
     EXPECT_NEAR(linkUse(7), FetchShare::LinkFraction, 0.08);
 }
 
-TEST(FetchShare, WhatWasWantedLongAgoDoesNotCount)
+TEST(FetchShare, OldDemandExpires)
 {
     FetchShare share;
     share.recordDemand(Store, 1e9, at(0));
--- a/src/vanilladyke/policy/kept_cache_view_test.cpp
+++ b/src/vanilladyke/policy/kept_cache_view_test.cpp
@@ -17,7 +17,7 @@
     return view;
 }
 
-TEST(KeptCacheView, KnowsPartsUnderTheirSaltOnly)
+TEST(KeptCacheView, HoldsPartsUnderTheirSaltOnly)
 {
     KeptCacheView view = viewOf(KeptCacheState::Followed);
     const std::string first = cacheSalt(ModelId("m"), 1, {});
@@ -31,7 +31,7 @@
 }
 
 // The store restarts and is empty. Guards against fetching parts that it no longer has.
-TEST(KeptCacheView, AStoreThatBeginsAnewHoldsNothing)
+TEST(KeptCacheView, AResetStoreHoldsNothing)
 {
     KeptCacheView view = viewOf(KeptCacheState::Followed);
     view.changed(storeHere, "s", "p", 800);
@@ -39,7 +39,7 @@
     EXPECT_FALSE(view.holds(storeHere, "s", "p", start));
 }
 
-TEST(KeptCacheView, AStoreThatIsDownIsNotAsked)
+TEST(KeptCacheView, AStoreThatIsDownHoldsNothing)
 {
     KeptCacheView view = viewOf(KeptCacheState::Unknown);
     view.recordSaved(KeptCacheView::keyOf("s", "p"), start);
@@ -51,7 +51,7 @@
 
 // The store accepts eight followers out of seventy nodes. Guards against the others saving every
 // part with every request, so that parts of single prompts evict the shared ones.
-TEST(KeptCacheView, ANodeThatCantFollowGoesByWhatNodesTellThatTheySaved)
+TEST(KeptCacheView, WithoutFollowingTheUpdatesOnSavedPartsApply)
 {
     KeptCacheView view = viewOf(KeptCacheState::Unknown);
     EXPECT_FALSE(view.holds(storeHere, "s", "p", start));
@@ -66,7 +66,7 @@
 
 // Each of three data centres has a store. A single store for all would have a third of the memory
 // and link capacity, and keeping each part in all three would leave room for a third of the parts.
-TEST(KeptCacheView, APartIsKeptBesideItsHome)
+TEST(KeptCacheView, APartIsKeptInTheDataCentreOfItsPreferredEngine)
 {
     KeptCacheView view;
     EXPECT_EQ(view.storeOf(DataCentreId("here")), nullptr);
@@ -76,7 +76,7 @@
     EXPECT_NE(view.storeOf(DataCentreId("elsewhere")), nullptr);
 }
 
-TEST(KeptCacheView, StoresThatStayKeepWhatIsKnownOfThem)
+TEST(KeptCacheView, RemainingStoresKeepTheirState)
 {
     KeptCacheView view = viewOf(KeptCacheState::Followed);
     view.changed(storeHere, "s", "p", 800);
--- a/src/vanilladyke/policy/learning_test.cpp
+++ b/src/vanilladyke/policy/learning_test.cpp
@@ -26,7 +26,7 @@
     EXPECT_GT(survival.fraction(Evidence::Doubted, seconds(3)), 0.4);
 }
 
-TEST(Survival, NothingBelievedMeansNothingExpected)
+TEST(Survival, WithoutEvidenceTheExpectedFractionIsZero)
 {
     EXPECT_EQ(Survival().fraction(Evidence::None, {}), 0.0);
 }
@@ -50,7 +50,7 @@
 
 // One prefix becomes the subject of most requests. On a single engine its callers would queue: it
 // has to get more preferred engines within seconds, and lose them when its rate falls.
-TEST(HotPrefixes, AHotPrefixGetsMoreHomesAndGivesThemUpWhenItCools)
+TEST(HotPrefixes, AHotPrefixHasMorePreferredEnginesUntilItsRateFalls)
 {
     HotPrefixes hot;
     const ChainHash prefix{1, 1};
@@ -65,7 +65,7 @@
     EXPECT_EQ(hot.note(prefix, std::chrono::milliseconds(20), 1, now), 1U);
 }
 
-TEST(HotPrefixes, ASmallChangeOfRateKeepsTheHomes)
+TEST(HotPrefixes, ASmallChangeOfRateKeepsThePreferredEngines)
 {
     HotPrefixes hot;
     const ChainHash prefix{1, 1};
--- a/src/vanilladyke/policy/part_holders_test.cpp
+++ b/src/vanilladyke/policy/part_holders_test.cpp
@@ -18,7 +18,7 @@
     return {part, weights, Tokens, Memory};
 }
 
-TEST(PartHolders, KnowsWhereAPartWasSentLately)
+TEST(PartHolders, HoldsRecentlySentParts)
 {
     PartHolders holders;
     holders.recordUse({7, 1, 3, Tokens}, at(0));
@@ -30,7 +30,7 @@
 
 // Fourteen parts are sent to an engine whose cache holds ten. Guards against treating the first one
 // as cached at its next use although it was evicted and has to be fetched.
-TEST(PartHolders, WhatWasWrittenSinceTellsThatAPartIsPushedOut)
+TEST(PartHolders, APartIsEvictedByWhatWasWrittenSince)
 {
     PartHolders holders;
     for (std::uint64_t part = 0; part < 14; ++part) {
@@ -42,7 +42,7 @@
     EXPECT_TRUE(holders.holds(lookupOf(8, 3), 1, at(1700))) << "the use renewed it";
 }
 
-TEST(PartHolders, WithoutKnownMemoryTheTimeDecides)
+TEST(PartHolders, WithUnknownCapacityTheAgeDecides)
 {
     PartHolders holders;
     holders.recordUse({7, 1, 3, Tokens}, at(0));
@@ -51,7 +51,7 @@
 }
 
 // Guards against fetching cached work for new weights that was computed under the old ones.
-TEST(PartHolders, WhatWasReadUnderOtherWeightsDoesNotCount)
+TEST(PartHolders, WorkUnderOtherWeightsDoesNotCount)
 {
     PartHolders holders;
     holders.recordUse({7, 1, 3, Tokens}, at(0));
@@ -61,7 +61,7 @@
     EXPECT_EQ(holders.holders(lookupOf(7, 4), at(30)).size(), 1U);
 }
 
-TEST(PartHolders, TheOldestHolderGivesWay)
+TEST(PartHolders, TheOldestHolderIsDropped)
 {
     PartHolders holders;
     for (std::uint64_t backend = 0; backend <= PartHolders::MaxHolders; ++backend) {
--- a/src/vanilladyke/policy/peer_backlog_test.cpp
+++ b/src/vanilladyke/policy/peer_backlog_test.cpp
@@ -21,7 +21,7 @@
 
 // A node reports a prompt of 150 ms and sends no further update. Guards against refusing callers a
 // second later, when the engine has long been idle.
-TEST(PeerBacklog, WhatWasToldIsReadAsTimePasses)
+TEST(PeerBacklog, ReportedBacklogDrainsOverTime)
 {
     PeerBacklog engine;
     static_cast<void>(engine.add(work(4, 150), at(0)));
@@ -29,7 +29,7 @@
     EXPECT_EQ(engine.ahead(4, at(1000)), Millis(0));
 }
 
-TEST(PeerBacklog, TheMostUrgentIsReadFirstAndTheLessUrgentIsNotAhead)
+TEST(PeerBacklog, TheMostUrgentDrainsFirstAndTheLessUrgentIsNotAhead)
 {
     PeerBacklog engine;
     static_cast<void>(engine.add(work(1, 40), at(0)));
@@ -41,7 +41,7 @@
 
 // A node sends a new report. Guards against subtracting its previous one from the reports of other
 // nodes, whose queues would then look empty.
-TEST(PeerBacklog, TakingBackLeavesWhatOthersTold)
+TEST(PeerBacklog, RemovingAReportKeepsTheReportsOfOthers)
 {
     PeerBacklog engine;
     const auto first = engine.add(work(4, 100), at(0));
@@ -50,7 +50,7 @@
     EXPECT_NEAR(engine.ahead(4, at(200)).count(), 150, 1e-6);
 }
 
-TEST(PeerBacklog, WhatWasReadIsNotTakenBackFromWhatCameLater)
+TEST(PeerBacklog, ADrainedReportIsNotRemovedFromLaterOnes)
 {
     PeerBacklog engine;
     const auto old = engine.add(work(4, 100), at(0));
--- a/src/vanilladyke/policy/prefill_throughput_test.cpp
+++ b/src/vanilladyke/policy/prefill_throughput_test.cpp
@@ -40,7 +40,7 @@
 
 // Guards against using the throughput of one deployment for another whose engines are ten times
 // slower, where callers would wait for seconds.
-TEST(PrefillThroughput, DeploymentsThatNobodyToldOfAreLearnedWithinAHundredRequests)
+TEST(PrefillThroughput, UnknownDeploymentsAreLearnedWithinAHundredRequests)
 {
     for (std::uint64_t seed = 1; seed <= 24; ++seed) {
         Deployment deployment(seed);
@@ -60,7 +60,7 @@
 }
 
 // Guards against invalid samples: a first token before the request, or after an hour.
-TEST(PrefillThroughput, WhatIsLearnedStaysWithinBounds)
+TEST(PrefillThroughput, TheLearnedValueStaysWithinBounds)
 {
     PrefillThroughput throughput;
     for (int i = 0; i < 1000; ++i) {
@@ -74,7 +74,7 @@
 }
 
 // One engine takes four times as long for a few seconds and then recovers.
-TEST(EngineSlowdown, IsNoticedWithinADozenRequestsAndForgotten)
+TEST(EngineSlowdown, IsDetectedWithinADozenRequestsAndDecays)
 {
     EngineSlowdown slowdown;
     const TimePoint start(std::chrono::hours(1));
--- a/src/vanilladyke/policy/wait_limit_test.cpp
+++ b/src/vanilladyke/policy/wait_limit_test.cpp
@@ -75,7 +75,7 @@
 
 // The load is one and a half times the engine's capacity. Guards against a queue that grows until
 // every caller waits until its deadline.
-TEST(WaitLimit, UnderOverloadThoseThatGoAreInTime)
+TEST(WaitLimit, UnderOverloadTheSentRequestsAreInTime)
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         const Outcome sentOn = replay(1.5, NoLimit, seed);
@@ -89,7 +89,7 @@
 
 // At seven tenths of the capacity a few requests occasionally coincide. At most one caller in fifty
 // may be refused twice.
-TEST(WaitLimit, AtUsualLoadHardlyAnybodyIsTurnedAwayTwice)
+TEST(WaitLimit, AtUsualLoadFewCallersAreRefusedTwice)
 {
     int refused = 0;
     int served = 0;
@@ -103,7 +103,7 @@
 
 // The prefill of a prompt of fifty thousand tokens exceeds its target. Without a backlog ahead it
 // is still served.
-TEST(WaitLimit, WhatThePromptItselfTakesIsNoReasonToRefuse)
+TEST(WaitLimit, ThePrefillOfThePromptItselfIsNoReasonToRefuse)
 {
     const TimePoint now(std::chrono::hours(1));
     EXPECT_FALSE(refusedUntil({Target, now + CallerTimeout, 0.5}, Millis(0), now));
@@ -111,7 +111,7 @@
 }
 
 // The retry time given to a refused caller is not before the wait is within the limit.
-TEST(WaitLimit, TheTimeToComeBackFollowsFromTheWait)
+TEST(WaitLimit, TheRetryTimeFollowsFromTheWait)
 {
     const TimePoint now(std::chrono::hours(1));
     const auto until = refusedUntil({Target, now + CallerTimeout, 0.5}, Millis(1000), now);
