--- a/include/vanilladyke/policy/backend_choice.hpp
+++ b/include/vanilladyke/policy/backend_choice.hpp
@@ -43,13 +43,13 @@
     double oldWeightsWaitFactor = 1;
     /// Servers with old weights are excluded after this time.
     Duration oldWeightsPeriod = std::chrono::milliseconds(15000);
-    /// Number of servers evaluated for a request if the service has more than
-    /// BackendTracker::EvaluateAllUpTo.
-    /// Without a preferred engine: the first servers of the node's own order.
+    /// Number of servers evaluated for a request without a preferred engine, the first of the
+    /// node's own order, if the service has more than BackendTracker::EvaluateAllUpTo.
     std::uint64_t candidateCount = 12;
-    /// With one: the first engines of the part's rendezvous order.
+    /// The same for a request with a preferred engine: the first of the part's rendezvous order.
     std::uint64_t preferredCount = 3;
-    /// Shared parts with a shorter prefill, less than an engine step, have no preferred engine.
+    /// Shared parts with a shorter prefill have no preferred engine; it takes less time than one
+    /// step of an engine.
     Millis minPreferredPrefill{3};
     Millis failurePenalty{1500};      ///< penalty for a server whose requests all fail
     Millis unresponsivePenalty{3000}; ///< penalty for an unresponsive server
--- a/include/vanilladyke/policy/backend_tracker.hpp
+++ b/include/vanilladyke/policy/backend_tracker.hpp
@@ -161,8 +161,8 @@
         int unanswered = 0;
         PrefillThroughput *throughput = nullptr; ///< of its service
         RequestDuration *durations = nullptr;    ///< of its service
-        RequestDuration *slotTimes =
-                nullptr; ///< of its service: how long a request occupies a slot
+        /// Of its service: how long a request occupies a slot.
+        RequestDuration *slotTimes = nullptr;
         /// Start times of own running requests, not matched to the ones that end.
         std::deque<TimePoint> begunAt;
         EngineSlowdown slowdown;
