--- a/include/vanilladyke/traffic/traffic_state.hpp
+++ b/include/vanilladyke/traffic/traffic_state.hpp
@@ -3,11 +3,11 @@
 #include "vanilladyke/base/metrics.hpp"
 #include "vanilladyke/base/random.hpp"
 #include "vanilladyke/model/work_digest.hpp"
-#include "vanilladyke/policy/backend_book.hpp"
+#include "vanilladyke/policy/backend_tracker.hpp"
+#include "vanilladyke/policy/fleet_retry_budget.hpp"
 #include "vanilladyke/policy/kept_cache_view.hpp"
 #include "vanilladyke/policy/request_quarantine.hpp"
 #include "vanilladyke/policy/route_table.hpp"
-#include "vanilladyke/policy/second_send_budget.hpp"
 #include "vanilladyke/traffic/backend_pool.hpp"
 #include "vanilladyke/traffic/dialect.hpp"
 #include "vanilladyke/traffic/engine_liveness_probe.hpp"
@@ -28,7 +28,7 @@
 {
     std::uint64_t self = 0; ///< hash of the node's name
     DataCentreId dataCentre;
-    BackendRates rates;
+    BackendCostParameters rates;
     Duration keysValidFor = std::chrono::milliseconds(4500); ///< after their last freshness proof
     bool failsClosed = true; ///< refuses requests with a key without a valid freshness proof
     bool withdrawsRequests =
@@ -65,7 +65,7 @@
 
     /// @brief Records when weights were announced, and logs it if it changes the recorded date.
     /// @param by source of the date, for the log
-    void recordWeightsDate(const NamedWeights &weights, AnnouncementSource grounds,
+    void recordWeightsDate(const AnnouncedWeights &weights, AnnouncementSource grounds,
                            std::string_view by);
 
     asio::io_context &context;
@@ -74,9 +74,9 @@
     EngineLivenessProbe livenessProbe;
     Dialect dialect;
     TrafficSettings settings;
-    BackendBook tracker;
+    BackendTracker tracker;
     KeptCacheView keptCache;
-    SecondSendBudget retryBudget;
+    FleetRetryBudget retryBudget;
     WorkDigester digester;
     RequestQuarantine quarantine;
     Random random;
--- a/src/vanilladyke/app/node_command.cpp
+++ b/src/vanilladyke/app/node_command.cpp
@@ -70,10 +70,10 @@
     {
         m_traffic.configAge = [this] { return m_control.proof().age(); };
         m_traffic.operatorNext = [this] { return m_follower.operatorNext(); };
-        SecondSendTerms terms = settings.control.secondSends;
+        FleetRetryLimits terms = settings.control.secondSends;
         terms.nodes = NodesBeforeTheList;
         m_traffic.nodes = NodesBeforeTheList;
-        m_traffic.retryBudget.setTerms(terms);
+        m_traffic.retryBudget.setLimits(terms);
     }
 
     int run()
@@ -195,9 +195,9 @@
         m_traffic.settings.keysValidFor = settings->traffic.keysValidFor;
         m_traffic.settings.failsClosed = settings->traffic.failsClosed;
         m_traffic.quarantine.setExempted(settings->traffic.releasedRequests);
-        SecondSendTerms terms = settings->control.secondSends;
+        FleetRetryLimits terms = settings->control.secondSends;
         terms.nodes = m_traffic.nodes;
-        m_traffic.retryBudget.setTerms(terms);
+        m_traffic.retryBudget.setLimits(terms);
         LogEvent("reload").field("path", m_path).field("needs_start", needsStart);
     }
 
--- a/src/vanilladyke/node/control_plane.cpp
+++ b/src/vanilladyke/node/control_plane.cpp
@@ -43,20 +43,20 @@
     WeightsNews news;
     news.loading = [this](const EngineId &id, Duration span) {
         tell([id, span](TrafficState &traffic) {
-            traffic.tracker.loading(id, MonotonicClock::now() + span);
+            traffic.tracker.startedLoading(id, MonotonicClock::now() + span);
             traffic.notifyPeers();
         });
     };
     news.loaded = [this](const EngineId &id, const ModelId &model, std::uint64_t version) {
         tell([id, model, version](TrafficState &traffic) {
-            traffic.tracker.loaded(id, model, version, MonotonicClock::now());
+            traffic.tracker.finishedLoading(id, model, version, MonotonicClock::now());
             traffic.notifyPeers();
         });
     };
     news.aged = [this](const WeightsAge &weights) {
         const TimePoint firstReceivedAt = MonotonicClock::now() - weights.age;
-        const NamedWeights named{weights.model,
-                                 {weights.version, firstReceivedAt, firstReceivedAt}};
+        const AnnouncedWeights named{weights.model,
+                                     {weights.version, firstReceivedAt, firstReceivedAt}};
         tell([named](TrafficState &traffic) {
             traffic.recordWeightsDate(named, AnnouncementSource::Reported, "lease");
         });
@@ -129,7 +129,7 @@
     // Taken here: the traffic thread may come to it late.
     const TimePoint now = MonotonicClock::now();
     if (age) {
-        const NamedWeights named{model, {version, now - *age, now}};
+        const AnnouncedWeights named{model, {version, now - *age, now}};
         tell([named](TrafficState &traffic) {
             traffic.recordWeightsDate(named, AnnouncementSource::Read, "record");
         });
@@ -137,8 +137,8 @@
     }
     // A node that has just started can't tell how long ago; half of the time allowed is a guess
     // that neither closes all engines on older weights at once nor keeps them open too long.
-    const TimePoint guess = now - m_traffic.settings.rates.weightsTime / 2;
-    const NamedWeights named{model, {version, guess, guess}};
+    const TimePoint guess = now - m_traffic.settings.rates.oldWeightsPeriod / 2;
+    const AnnouncedWeights named{model, {version, guess, guess}};
     tell([named](TrafficState &traffic) {
         traffic.recordWeightsDate(named, AnnouncementSource::Estimated, "guess");
     });
@@ -195,11 +195,11 @@
 
 void ControlPlane::nodesListed(std::vector<Endpoint> peers)
 {
-    SecondSendTerms terms = m_settings.secondSends;
+    FleetRetryLimits terms = m_settings.secondSends;
     terms.nodes = std::max<std::size_t>(peers.size(), 1);
     tell([terms, peers = std::move(peers)](TrafficState &traffic) {
         traffic.nodes = terms.nodes;
-        traffic.retryBudget.setTerms(terms);
+        traffic.retryBudget.setLimits(terms);
         if (traffic.onPeersChanged) {
             traffic.onPeersChanged(peers);
         }
@@ -236,7 +236,7 @@
 {
     tell([serving = m_roster.serving()](TrafficState &traffic) {
         traffic.tracker.setBackends(serving);
-        traffic.pool.closeStale([&](const EngineId &id) { return traffic.tracker.knows(id); },
+        traffic.pool.closeStale([&](const EngineId &id) { return traffic.tracker.contains(id); },
                                 MonotonicClock::now());
     });
 }
--- a/src/vanilladyke/node/load_sharing.cpp
+++ b/src/vanilladyke/node/load_sharing.cpp
@@ -39,7 +39,7 @@
     return static_cast<std::uint32_t>(std::max<std::int64_t>(count, 0));
 }
 
-void write(const NamedWeights &weights, TimePoint now, wire::NamedWeights *out)
+void write(const AnnouncedWeights &weights, TimePoint now, wire::NamedWeights *out)
 {
     out->set_model(weights.model.str());
     out->set_version(weights.date.version);
@@ -48,7 +48,7 @@
     out->set_known_age_ms(millis(std::min(now - weights.date.firstReceivedAt, OldestTold)));
 }
 
-NamedWeights read(const wire::NamedWeights &weights, TimePoint now)
+AnnouncedWeights read(const wire::NamedWeights &weights, TimePoint now)
 {
     return {ModelId(weights.model()),
             {weights.version(), now - std::chrono::milliseconds(weights.named_age_ms()),
@@ -70,7 +70,7 @@
     }
 }
 
-void write(const LimitNews &news, wire::BackendLimit *limit)
+void write(const LimitUpdate &news, wire::BackendLimit *limit)
 {
     limit->set_backend(news.backend);
     limit->set_is_observed(news.isObserved);
@@ -80,9 +80,9 @@
     limit->set_sent(news.sent);
 }
 
-LimitNews read(const wire::BackendLimit &limit)
+LimitUpdate read(const wire::BackendLimit &limit)
 {
-    LimitNews news;
+    LimitUpdate news;
     news.backend = limit.backend();
     news.isObserved = limit.is_observed();
     if (limit.is_named()) {
@@ -160,7 +160,7 @@
     }
     const std::size_t stretch = std::max<std::size_t>(1, (peers + 1) / NodesAtFullRate);
     m_nextAt = now + Interval * stretch;
-    m_state.tracker.forgetSilentPeers(now);
+    m_state.tracker.dropExpiredPeers(now);
     forgetSilent(now);
     tell(now);
 }
@@ -182,22 +182,22 @@
     message.set_operator_next(m_state.operatorNext());
     if (now >= m_weightsToldAt + TellWeightsEvery) {
         m_weightsToldAt = now;
-        for (const NamedWeights &each : m_state.tracker.namedWeights()) {
+        for (const AnnouncedWeights &each : m_state.tracker.announcedWeights()) {
             write(each, now, message.add_named_weights());
         }
     }
-    for (const BackendLoadNews &each : m_state.tracker.ownLoad(MostBackends, now)) {
+    for (const BackendLoadUpdate &each : m_state.tracker.ownLoad(MostBackends, now)) {
         wire::BackendLoad *load = message.add_backends();
         load->set_backend(each.backend);
-        const bool isIdle = each.waiting.total() <= Millis::zero();
-        for (int urgency = 0; !isIdle && urgency < WaitingWork::Urgencies; ++urgency) {
-            load->add_waiting_ms(static_cast<std::uint32_t>(each.waiting.of(urgency).count()));
+        const bool isIdle = each.backlog.total() <= Millis::zero();
+        for (int urgency = 0; !isIdle && urgency < PrefillBacklog::Urgencies; ++urgency) {
+            load->add_waiting_ms(static_cast<std::uint32_t>(each.backlog.of(urgency).count()));
         }
         load->set_in_flight(static_cast<std::uint32_t>(each.inFlight));
         load->set_loading_ms(millis(each.loading));
         load->set_weights(each.weights);
     }
-    for (const PlacementNews &each : m_state.tracker.takePlacements()) {
+    for (const PlacementUpdate &each : m_state.tracker.takePlacements()) {
         wire::Placement *placement = message.add_placements();
         placement->set_part(each.part);
         placement->set_backend(each.backend);
@@ -211,9 +211,9 @@
                  m_routes.size() + 1, MostQuarantined, now, m_state.random)) {
         write(each, message.add_quarantined());
     }
-    std::vector<LimitNews> limits = m_state.tracker.ownLimits(now);
+    std::vector<LimitUpdate> limits = m_state.tracker.ownLimits(now);
     limits.resize(std::min(limits.size(), MostLimits));
-    for (const LimitNews &each : limits) {
+    for (const LimitUpdate &each : limits) {
         write(each, message.add_limits());
     }
     const auto recipients = m_routes.recipients(m_state.random, now);
@@ -273,27 +273,27 @@
     for (const wire::NamedWeights &each : message.named_weights()) {
         m_state.recordWeightsDate(read(each, now), AnnouncementSource::Reported, "peer");
     }
-    std::vector<BackendLoadNews> news;
+    std::vector<BackendLoadUpdate> news;
     news.reserve(static_cast<std::size_t>(message.backends_size()));
     for (const wire::BackendLoad &load : message.backends()) {
-        WaitingWork waiting;
+        PrefillBacklog waiting;
         for (int urgency = 0; urgency < load.waiting_ms_size(); ++urgency) {
             waiting.add(urgency, Millis(load.waiting_ms(urgency)));
         }
         news.push_back({load.backend(), waiting, static_cast<int>(load.in_flight()),
                         std::chrono::milliseconds(load.loading_ms()), load.weights()});
     }
-    m_state.tracker.heardLoad(message.node(), news, now);
-    std::vector<PlacementNews> placements;
+    m_state.tracker.receivedLoad(message.node(), news, now);
+    std::vector<PlacementUpdate> placements;
     placements.reserve(static_cast<std::size_t>(message.placements_size()));
     for (const wire::Placement &each : message.placements()) {
         placements.push_back({each.part(), each.backend(), each.weights(), each.saved(),
                               each.written(), each.store(), each.wanted()});
         if (each.saved() != 0) {
-            m_state.keptCache.toldSaved(each.saved(), now);
+            m_state.keptCache.recordSaved(each.saved(), now);
         }
     }
-    m_state.tracker.heardPlacements(placements, now);
+    m_state.tracker.receivedPlacements(placements, now);
     if (message.limits_size() > 0) {
         takeLimits(message, now);
     }
@@ -304,12 +304,12 @@
 
 void LoadSharing::takeLimits(const wire::NodeLoad &message, TimePoint now)
 {
-    std::vector<LimitNews> news;
+    std::vector<LimitUpdate> news;
     news.reserve(static_cast<std::size_t>(message.limits_size()));
     for (const wire::BackendLimit &each : message.limits()) {
         news.push_back(read(each));
     }
-    for (const EngineId &changed : m_state.tracker.heardLimits(message.node(), news, now)) {
+    for (const EngineId &changed : m_state.tracker.receivedLimits(message.node(), news, now)) {
         const std::optional<double> limit = m_state.tracker.limitOf(changed);
         LogEvent("engine_limit")
                 .field("backend", changed.str())
--- a/src/vanilladyke/policy/backend_choice.cpp
+++ b/src/vanilladyke/policy/backend_choice.cpp
@@ -1,7 +1,7 @@
 #include "vanilladyke/policy/backend_choice.hpp"
 
 #include "vanilladyke/model/fleet_index.hpp"
-#include "vanilladyke/policy/backend_book.hpp"
+#include "vanilladyke/policy/backend_tracker.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -10,14 +10,14 @@
 
 namespace {
 
-/// Predicted reading time of a plain service's call; only its ratio to other waits matters.
-constexpr Millis PlainCall{10};
+/// Assumed time of a plain service's call; only its ratio to other waits matters.
+constexpr Millis PlainCallTime{10};
 
 } // namespace
 
-bool BackendQuery::hasHome() const
+bool BackendQuery::hasPreferredEngine() const
 {
-    return !sharedPart.empty() && sharedTokens >= leastHomeTokens;
+    return !sharedPart.empty() && sharedTokens >= minPreferredTokens;
 }
 
 std::uint64_t BackendQuery::keyOf(const std::string &part) const
@@ -30,123 +30,125 @@
     return keyOf(sharedPart);
 }
 
-std::uint64_t BackendQuery::homeKey() const
+std::uint64_t BackendQuery::preferenceKey() const
 {
-    return keyOf(homePart.empty() ? sharedPart : homePart);
+    return keyOf(preferencePart.empty() ? sharedPart : preferencePart);
 }
 
-std::optional<TimePoint> BackendBook::weightsEnd(const EngineId &id, const ModelId &model) const
+std::optional<TimePoint> BackendTracker::weightsEnd(const EngineId &id, const ModelId &model) const
 {
     const auto state = m_states.find(id);
     const auto dates = m_weightsDates.find(model);
     if (state == m_states.end() || dates == m_weightsDates.end()) {
         return std::nullopt;
     }
-    return dates->second.deadlineOf(weightsOf(state->second, model), m_rates.weightsTime);
+    return dates->second.deadlineOf(weightsOf(state->second, model), m_costs.oldWeightsPeriod);
 }
 
-bool BackendBook::mayBegin(const State &state, const BackendQuery &query,
-                           const WeightsAnnouncements *dates, TimePoint now) const
+bool BackendTracker::canBeginInTime(const State &state, const BackendQuery &query,
+                                    const WeightsAnnouncements *dates, TimePoint now) const
 {
     if (dates == nullptr) {
         return true;
     }
-    const auto end = dates->deadlineOf(weightsOf(state, query.model), m_rates.weightsTime);
+    const auto end = dates->deadlineOf(weightsOf(state, query.model), m_costs.oldWeightsPeriod);
     if (!end) {
         return true;
     }
     const auto tokens = static_cast<double>(query.sharedTokens + query.ownTokens);
-    const Millis waits = waitOf(state, query.urgency, now) + readTime(state, tokens, now);
-    const auto begins = std::chrono::duration_cast<Duration>(m_rates.oldWeightsWaits * waits);
+    const Millis wait = predictedWait(state, query.urgency, now) + prefillTime(state, tokens, now);
+    const auto begins = std::chrono::duration_cast<Duration>(m_costs.oldWeightsWaitFactor * wait);
     return now + begins + OldWeightsMargin < *end;
 }
 
-Millis BackendBook::readTime(const State &state, double tokens, TimePoint now)
+Millis BackendTracker::prefillTime(const State &state, double tokens, TimePoint now)
 {
-    return state.pace->reading(tokens) * state.slowness.factor(now);
+    return state.throughput->prefillTime(tokens) * state.slowdown.factor(now);
 }
 
-bool BackendBook::isSilent(const State &state, TimePoint now) const
+bool BackendTracker::isUnresponsive(const State &state, TimePoint now) const
 {
-    return state.unanswered > 0 && now - state.silentSince > SilenceToAvoid;
+    return state.unanswered > 0 && now - state.unansweredSince > UnresponsiveAfter;
 }
 
-Millis BackendBook::waitOf(const State &state, int urgency, TimePoint now) const
+Millis BackendTracker::predictedWait(const State &state, int urgency, TimePoint now) const
 {
-    // What waits at the engine is in the predicted reading of this node and of those that it hears
-    // of; only requests of nobody known are added to that.
+    // The reported queue of the engine contains the requests of this node and of its peers, which
+    // are predicted below; only requests of unknown nodes are added.
     const double peers = peersInFlight(state, now);
     int others = 0;
     int queued = 0;
-    if (now - state.reportedAt < ReportLife) {
-        const int told = state.reportedRunning + state.reportedWaiting - state.ownAtReport;
-        others = std::max(0, told - static_cast<int>(peers));
+    if (now - state.reportedAt < ReportLifetime) {
+        const int reportedOthers =
+                state.reportedRunning + state.reportedWaiting - state.ownAtReport;
+        others = std::max(0, reportedOthers - static_cast<int>(peers));
         queued = std::min(others, state.reportedWaiting);
     }
     const int busy = others + state.inFlight + static_cast<int>(std::lround(peers));
     const int over = std::max(queued, busy + 1 - state.entry.slots);
-    // A full server gives its slots back one after the other.
+    // The slots of a full server become free one after the other.
     const Millis perSlot = state.slotTimes->mean() / std::max(state.entry.slots, 1);
     const double slotsUsed = static_cast<double>(busy) / std::max(state.entry.slots, 1);
-    const int most = m_rates.weighsUrgency ? urgency : WaitingWork::Urgencies - 1;
-    return state.waiting.ahead(most) + state.peersWaiting.ahead(most, now) + busy * m_rates.step
-           + over * perSlot + slotsUsed * PlainCall;
+    const int most = m_costs.weighsUrgency ? urgency : PrefillBacklog::Urgencies - 1;
+    return state.backlog.ahead(most) + state.peerBacklog.ahead(most, now) + busy * m_costs.stepDelay
+           + over * perSlot + slotsUsed * PlainCallTime;
 }
 
-Millis BackendBook::chargesOf(const State &state, const BackendQuery &query,
-                              const WeightsAnnouncements *dates, TimePoint now) const
+Millis BackendTracker::penaltiesOf(const State &state, const BackendQuery &query,
+                                   const WeightsAnnouncements *dates, TimePoint now) const
 {
     const std::uint64_t weights = weightsOf(state, query.model);
-    Millis charges = state.entry.dataCentre == m_here ? Millis::zero() : m_rates.otherCentre;
-    if (state.failurePart > 0) {
+    Millis penalties =
+            state.entry.dataCentre == m_here ? Millis::zero() : m_costs.crossDataCentrePenalty;
+    if (state.failureFraction > 0) {
         const double age = secondsOf(now - state.failureAt) / secondsOf(FailureHalfLife);
-        charges += m_rates.failureCost * state.failurePart * std::exp2(-age);
+        penalties += m_costs.failurePenalty * state.failureFraction * std::exp2(-age);
     }
-    if (isSilent(state, now)) {
-        charges += m_rates.silenceCost;
+    if (isUnresponsive(state, now)) {
+        penalties += m_costs.unresponsivePenalty;
     }
     if (state.limit.perSecond()) {
-        charges += m_rates.limitedCost * state.limit.scarcity(now);
+        penalties += m_costs.limitedPenalty * state.limit.scarcity(now);
     }
     if (dates != nullptr && dates->isSuperseded(weights, now - OldWeightsGrace)) {
-        charges += m_rates.oldWeightsPart * Millis(query.target);
+        penalties += m_costs.oldWeightsPenalty * Millis(query.target);
     }
-    return charges;
+    return penalties;
 }
 
-DataCentreId BackendBook::homeCentre(const std::vector<const State *> &all,
-                                     std::uint64_t part) const
+DataCentreId BackendTracker::preferredDataCentre(const std::vector<const State *> &all,
+                                                 std::uint64_t part) const
 {
-    const auto home =
+    const auto preferred =
             std::max_element(all.begin(), all.end(), [part](const State *a, const State *b) {
                 return mixBits(part ^ a->hash) < mixBits(part ^ b->hash);
             });
-    return home == all.end() ? DataCentreId() : (*home)->entry.dataCentre;
+    return preferred == all.end() ? DataCentreId() : (*preferred)->entry.dataCentre;
 }
 
-std::uint64_t BackendBook::newestWeights(const ModelId &model) const
+std::uint64_t BackendTracker::newestWeights(const ModelId &model) const
 {
     const auto dates = m_weightsDates.find(model);
     return dates == m_weightsDates.end() ? 0 : dates->second.newest();
 }
 
-void BackendBook::keepHomes(const BackendQuery &query, std::size_t more, TimePoint now,
-                            std::vector<Candidate> *open) const
+void BackendTracker::limitCandidates(const BackendQuery &query, std::size_t more, TimePoint now,
+                                     std::vector<Candidate> *available) const
 {
-    std::sort(open->begin(), open->end(),
+    std::sort(available->begin(), available->end(),
               [](const Candidate &a, const Candidate &b) { return a.order > b.order; });
     const std::vector<std::uint64_t> holders = m_holders.backends(query.partKey());
     const std::uint64_t newest = newestWeights(query.model);
     std::vector<Candidate> kept;
     std::vector<Candidate> others;
     std::size_t onNewest = 0;
-    for (const Candidate &each : *open) {
-        const bool isFirst = kept.size() + others.size() < m_rates.homes;
+    for (const Candidate &each : *available) {
+        const bool isFirst = kept.size() + others.size() < m_costs.preferredCount;
         const bool isHolder =
                 std::find(holders.begin(), holders.end(), each.state->hash) != holders.end();
-        bool standsIn = newest > 0 && weightsOf(*each.state, query.model) >= newest;
-        standsIn = standsIn && onNewest++ < m_rates.homes;
-        (isFirst || isHolder || standsIn ? kept : others).push_back(each);
+        bool isReplacement = newest > 0 && weightsOf(*each.state, query.model) >= newest;
+        isReplacement = isReplacement && onNewest++ < m_costs.preferredCount;
+        (isFirst || isHolder || isReplacement ? kept : others).push_back(each);
     }
     const auto drawn = others.begin() + static_cast<std::ptrdiff_t>(std::min(more, others.size()));
     const std::uint64_t draw =
@@ -156,171 +158,178 @@
                           return mixBits(draw ^ a.state->hash) > mixBits(draw ^ b.state->hash);
                       });
     kept.insert(kept.end(), others.begin(), drawn);
-    *open = std::move(kept);
+    *available = std::move(kept);
 }
 
-std::optional<TimePoint> BackendBook::opensLater(const State &state, TimePoint now) const
+std::optional<TimePoint> BackendTracker::availableAt(const State &state, TimePoint now) const
 {
-    const TimePoint closedUntil = std::max(state.closedUntil, state.loadingUntil);
-    if (closedUntil > now) {
-        return closedUntil;
+    const TimePoint excludedUntil = std::max(state.excludedUntil, state.loadingUntil);
+    if (excludedUntil > now) {
+        return excludedUntil;
     }
-    if (!m_rates.keepsLimits || state.limit.allows(drawFor(state.hash, now), now)) {
+    if (!m_costs.enforcesLimits || state.limit.allows(drawFor(state.hash, now), now)) {
         return std::nullopt;
     }
-    return state.limit.opensAt(now);
+    return state.limit.nextAllowedAt(now);
 }
 
-BackendBook::Weighed BackendBook::weigh(const BackendQuery &query,
-                                        const WeightsAnnouncements *dates, std::size_t more,
-                                        TimePoint now, NoBackend *none) const
+BackendTracker::CandidateSet BackendTracker::collectCandidates(const BackendQuery &query,
+                                                               const WeightsAnnouncements *dates,
+                                                               std::size_t more, TimePoint now,
+                                                               NoBackend *none) const
 {
     const std::vector<const State *> &all = m_byService.at(query.service);
-    const bool hasHome = query.hasHome();
-    const std::uint64_t part = hasHome ? query.homeKey() : 0;
-    const bool isWhole = all.size() <= WholeUpTo;
-    const std::size_t most =
-            isWhole ? all.size() : (hasHome ? m_rates.homes : m_rates.reach + more);
-    // With a store in each data centre, the homes that follow the first one stay beside its store.
-    constexpr std::uint64_t Beside = 1ULL << 63U;
+    const bool hasPreferredEngine = query.hasPreferredEngine();
+    const std::uint64_t part = hasPreferredEngine ? query.preferenceKey() : 0;
+    const bool evaluatesAll = all.size() <= EvaluateAllUpTo;
+    const std::size_t most = evaluatesAll ? all.size()
+                                          : (hasPreferredEngine ? m_costs.preferredCount
+                                                                : m_costs.candidateCount + more);
+    // With a store in each data centre, the engines in the data centre of the preferred one come
+    // first in the order, close to the store that keeps the part.
+    constexpr std::uint64_t SameDataCentre = 1ULL << 63U;
     const bool hasStores = query.kept != nullptr && query.kept->stores() > 1;
-    Weighed result;
-    if (hasHome) {
-        result.homeCentre = homeCentre(all, part);
+    CandidateSet result;
+    if (hasPreferredEngine) {
+        result.preferredDataCentre = preferredDataCentre(all, part);
     }
-    std::size_t good = 0;
+    std::size_t responsive = 0;
     for (const State *state : all) {
-        if (!hasHome && good >= most) {
+        if (!hasPreferredEngine && responsive >= most) {
             break;
         }
         const bool isTried = std::find(query.exclude.begin(), query.exclude.end(), state->entry.id)
                              != query.exclude.end();
-        if (isTried || !mayBegin(*state, query, dates, now)) {
+        if (isTried || !canBeginInTime(*state, query, dates, now)) {
             continue;
         }
-        if (const auto later = opensLater(*state, now)) {
+        if (const auto later = availableAt(*state, now)) {
             none->retryAt = std::min(none->retryAt, *later);
             continue;
         }
-        good += isSilent(*state, now) ? 0 : 1;
-        std::uint64_t order = mixBits(part ^ state->hash) & ~Beside;
-        if (!hasStores || state->entry.dataCentre == result.homeCentre) {
-            order |= Beside;
+        responsive += isUnresponsive(*state, now) ? 0 : 1;
+        std::uint64_t order = mixBits(part ^ state->hash) & ~SameDataCentre;
+        if (!hasStores || state->entry.dataCentre == result.preferredDataCentre) {
+            order |= SameDataCentre;
         }
-        result.open.push_back({state, order, {}});
+        result.available.push_back({state, order, {}});
     }
-    if (hasHome && result.open.size() > most) {
-        keepHomes(query, more, now, &result.open);
+    if (hasPreferredEngine && result.available.size() > most) {
+        limitCandidates(query, more, now, &result.available);
     }
-    for (Candidate &each : result.open) {
-        each.waits = waitOf(*each.state, query.urgency, now);
-        each.cost = each.waits + chargesOf(*each.state, query, dates, now);
+    for (Candidate &each : result.available) {
+        each.wait = predictedWait(*each.state, query.urgency, now);
+        each.cost = each.wait + penaltiesOf(*each.state, query, dates, now);
     }
     return result;
 }
 
-const BackendBook::State *BackendBook::holderBeside(const State &engine,
-                                                    const PartHolders::Question &question,
-                                                    const BackendQuery &query, TimePoint now) const
+const BackendTracker::State *BackendTracker::fetchSource(const State &engine,
+                                                         const PartHolders::Lookup &lookup,
+                                                         const BackendQuery &query,
+                                                         TimePoint now) const
 {
     const State *best = nullptr;
-    if (!m_rates.fetchesFromEngines) {
+    if (!m_costs.fetchesFromEngines) {
         return best;
     }
-    for (const std::uint64_t backend : m_holders.holders(question, now)) {
+    for (const std::uint64_t backend : m_holders.holders(lookup, now)) {
         const auto known = m_byHash.find(backend);
         if (known == m_byHash.end() || known->second == &engine) {
             continue;
         }
         const State &state = *known->second;
-        const bool isSound = state.closedUntil <= now && state.loadingUntil <= now
-                             && !isSilent(state, now)
-                             && weightsOf(state, query.model) == question.weights;
-        best = isSound ? &state : best; // the last used comes last
+        const bool isUsable = state.excludedUntil <= now && state.loadingUntil <= now
+                              && !isUnresponsive(state, now)
+                              && weightsOf(state, query.model) == lookup.weights;
+        best = isUsable ? &state : best; // the most recently used comes last
     }
     return best;
 }
 
-double BackendBook::drawFor(std::uint64_t part, TimePoint now)
+double BackendTracker::drawFor(std::uint64_t part, TimePoint now)
 {
     constexpr double Scale = 1.0 / 9007199254740992.0; // 2^-53
     const auto nanos = static_cast<std::uint64_t>(now.time_since_epoch().count());
     return static_cast<double>(mixBits(part ^ mixBits(nanos)) >> 11U) * Scale;
 }
 
-BackendBook::Reading BackendBook::readingAt(const State &engine, const State &home,
-                                            const BackendQuery &query, const KeptStore *store,
-                                            TimePoint now) const
+BackendTracker::PrefillPlan BackendTracker::planPrefill(const State &engine, const State &preferred,
+                                                        const BackendQuery &query,
+                                                        const KeptStore *store, TimePoint now) const
 {
-    const PartHolders::Question question{query.partKey(), weightsOf(engine, query.model),
-                                         query.sharedTokens, query.memoryTokens};
-    const std::string salt = cacheSalt(query.model, question.weights, query.isolated);
+    const PartHolders::Lookup lookup{query.partKey(), weightsOf(engine, query.model),
+                                     query.sharedTokens, query.memoryTokens};
+    const std::string salt = cacheSalt(query.model, lookup.weights, query.isolated);
     const bool isKept =
             store != nullptr && query.kept->holds(store->endpoint, salt, query.sharedPart, now);
-    // A home on older weights can't have the part under newer ones: somewhere it is read first.
-    const bool isHome = &engine == &home || weightsOf(home, query.model) < question.weights;
+    // A preferred engine on older weights cannot hold the part under newer ones, so some engine has
+    // to prefill it: no penalty.
+    const bool isPreferred =
+            &engine == &preferred || weightsOf(preferred, query.model) < lookup.weights;
     const auto shared = static_cast<double>(query.sharedTokens);
-    Reading reading;
-    reading.tokens = static_cast<double>(query.ownTokens);
-    reading.time = readTime(engine, reading.tokens, now);
-    const Millis sharedTime = readTime(engine, shared, now);
-    reading.isHeld = m_holders.holds(question, engine.hash, now);
+    PrefillPlan plan;
+    plan.tokens = static_cast<double>(query.ownTokens);
+    plan.time = prefillTime(engine, plan.tokens, now);
+    const Millis sharedTime = prefillTime(engine, shared, now);
+    plan.isCached = m_holders.holds(lookup, engine.hash, now);
     if (store != nullptr && !isKept && query.kept->state(store->endpoint) != KeptCacheState::Down) {
-        reading.saveTo = store->endpoint;
+        plan.saveTo = store->endpoint;
     }
-    // Engines hand out faster than a store, whose one link many engines share.
-    const State *holder = holderBeside(engine, question, query, now);
+    // Engines transfer faster than a store, whose single link is shared by many engines.
+    const State *holder = fetchSource(engine, lookup, query, now);
     const std::uint64_t storeName = store == nullptr ? 0 : hashOf(store->endpoint);
-    const bool mayFetch = isKept
-                          && m_fetches.allows(storeName, m_rates.keptTokensPerMs,
-                                              drawFor(question.part, now), now);
+    const bool mayFetch =
+            isKept
+            && m_fetches.allows(storeName, m_costs.keptTokensPerMs, drawFor(lookup.part, now), now);
     if (holder != nullptr) {
-        reading.fetchFrom = holder->entry.endpoint;
+        plan.fetchFrom = holder->entry.endpoint;
     } else if (mayFetch) {
-        reading.fetchFrom = store->endpoint;
+        plan.fetchFrom = store->endpoint;
     }
-    if (reading.isHeld) {
-        return reading; // what is fetched is only what was pushed out meanwhile
+    if (plan.isCached) {
+        return plan; // a fetch transfers only what was evicted meanwhile
     }
-    reading.store = isKept && holder == nullptr ? storeName : 0;
+    plan.store = isKept && holder == nullptr ? storeName : 0;
     if (holder != nullptr) {
-        reading.charge = m_rates.copyReads * sharedTime;
-        reading.time += FetchSetup + Millis(shared / m_rates.engineTokensPerMs);
-        return reading;
+        plan.penalty = m_costs.copyPenalty * sharedTime;
+        plan.time += FetchSetup + Millis(shared / m_costs.engineTokensPerMs);
+        return plan;
     }
-    reading.charge = isHome ? Millis::zero() : m_rates.awayReads * sharedTime;
+    plan.penalty = isPreferred ? Millis::zero() : m_costs.nonPreferredPenalty * sharedTime;
     if (mayFetch) {
         constexpr double AcrossCentres = 2;
         const double far = store->dataCentre == engine.entry.dataCentre ? 1 : AcrossCentres;
-        reading.time += FetchSetup + Millis(far * shared / m_rates.keptTokensPerMs);
+        plan.time += FetchSetup + Millis(far * shared / m_costs.keptTokensPerMs);
     } else {
-        reading.tokens += shared;
-        reading.time += sharedTime;
+        plan.tokens += shared;
+        plan.time += sharedTime;
     }
-    return reading;
+    return plan;
 }
 
-tl::expected<BackendChoice, NoBackend> BackendBook::choose(const BackendQuery &query,
-                                                           TimePoint now) const
+tl::expected<BackendChoice, NoBackend> BackendTracker::choose(const BackendQuery &query,
+                                                              TimePoint now) const
 {
     const auto service = m_byService.find(query.service);
     if (service == m_byService.end() || service->second.empty()) {
-        return tl::make_unexpected(NoBackend{false, now + UnknownPause});
+        return tl::make_unexpected(NoBackend{false, now + UnknownServiceRetryDelay});
     }
     const auto datesFound = m_weightsDates.find(query.model);
     const bool hasDates = !query.model.empty() && datesFound != m_weightsDates.end();
     const WeightsAnnouncements *dates = hasDates ? &datesFound->second : nullptr;
-    NoBackend none{true, now + LongestClose};
-    std::optional<BackendChoice> chosen = best(query, weigh(query, dates, 0, now, &none), now);
-    const Millis mostWait = m_rates.mostWaitTargets * Millis(query.target);
-    if (!chosen || chosen->waits > mostWait) {
-        // It would be refused: others may have room, though they read more of its prompt.
-        Weighed wider = weigh(query, dates, m_rates.reach, now, &none);
-        const auto crowded =
-                std::partition(wider.open.begin(), wider.open.end(),
-                               [&](const Candidate &each) { return each.waits <= mostWait; });
-        if (crowded != wider.open.begin()) {
-            wider.open.erase(crowded, wider.open.end());
+    NoBackend none{true, now + MaxExclusion};
+    std::optional<BackendChoice> chosen =
+            best(query, collectCandidates(query, dates, 0, now, &none), now);
+    const Millis maxWait = m_costs.maxWaitFraction * Millis(query.target);
+    if (!chosen || chosen->wait > maxWait) {
+        // The request would be refused: other servers may be free, though they prefill more of it.
+        CandidateSet wider = collectCandidates(query, dates, m_costs.candidateCount, now, &none);
+        const auto overloaded =
+                std::partition(wider.available.begin(), wider.available.end(),
+                               [&](const Candidate &each) { return each.wait <= maxWait; });
+        if (overloaded != wider.available.begin()) {
+            wider.available.erase(overloaded, wider.available.end());
         }
         chosen = best(query, wider, now);
     }
@@ -330,55 +339,56 @@
     return *chosen;
 }
 
-std::optional<BackendChoice> BackendBook::best(const BackendQuery &query, const Weighed &weighed,
-                                               TimePoint now) const
+std::optional<BackendChoice>
+BackendTracker::best(const BackendQuery &query, const CandidateSet &candidates, TimePoint now) const
 {
-    const std::vector<Candidate> &open = weighed.open;
-    if (open.empty()) {
+    const std::vector<Candidate> &available = candidates.available;
+    if (available.empty()) {
         return std::nullopt;
     }
-    const bool hasHome = query.hasHome();
-    const KeptStore *store =
-            hasHome && query.kept != nullptr ? query.kept->storeOf(weighed.homeCentre) : nullptr;
-    const auto home =
-            std::max_element(open.begin(), open.end(), [](const Candidate &a, const Candidate &b) {
-                return a.order < b.order;
-            });
+    const bool hasPreferredEngine = query.hasPreferredEngine();
+    const KeptStore *store = hasPreferredEngine && query.kept != nullptr
+                                     ? query.kept->storeOf(candidates.preferredDataCentre)
+                                     : nullptr;
+    const auto preferred = std::max_element(
+            available.begin(), available.end(),
+            [](const Candidate &a, const Candidate &b) { return a.order < b.order; });
     BackendChoice best;
     const State *chosen = nullptr;
-    for (const Candidate &engine : open) {
-        Reading reading;
-        if (hasHome) {
-            reading = readingAt(*engine.state, *home->state, query, store, now);
+    for (const Candidate &engine : available) {
+        PrefillPlan plan;
+        if (hasPreferredEngine) {
+            plan = planPrefill(*engine.state, *preferred->state, query, store, now);
         } else {
-            reading.tokens = static_cast<double>(query.sharedTokens + query.ownTokens);
-            reading.time = readTime(*engine.state, reading.tokens, now);
+            plan.tokens = static_cast<double>(query.sharedTokens + query.ownTokens);
+            plan.time = prefillTime(*engine.state, plan.tokens, now);
         }
-        const Millis cost = engine.cost + reading.time + reading.charge;
+        const Millis cost = engine.cost + plan.time + plan.penalty;
         if (chosen == nullptr || cost < best.cost) {
             chosen = engine.state;
-            best.isHeld = reading.isHeld;
-            best.fetchFrom = reading.fetchFrom;
-            best.saveTo = reading.saveTo;
-            best.store = reading.store;
+            best.isCached = plan.isCached;
+            best.fetchFrom = plan.fetchFrom;
+            best.saveTo = plan.saveTo;
+            best.store = plan.store;
             best.cost = cost;
-            best.reading = reading.time;
-            best.readTokens = reading.tokens;
+            best.prefill = plan.time;
+            best.prefillTokens = plan.tokens;
         }
     }
     best.chosenAt = now;
     best.urgency = query.urgency;
-    best.waits = waitOf(*chosen, query.urgency, now);
-    best.first = best.waits + best.reading + chosen->pace->predict(0);
-    best.tokensPerMs = chosen->pace->tokensPerMs() / chosen->slowness.factor(now);
-    best.isAlone = chosen->unanswered == 0
-                   && chosen->peersWaiting.ahead(WaitingWork::Urgencies - 1, now) <= Millis::zero()
-                   && (now - chosen->reportedAt > ReportLife || chosen->reportedWaiting == 0);
-    best.part = hasHome ? query.partKey() : 0;
+    best.wait = predictedWait(*chosen, query.urgency, now);
+    best.timeToFirstToken = best.wait + best.prefill + chosen->throughput->predict(0);
+    best.tokensPerMs = chosen->throughput->tokensPerMs() / chosen->slowdown.factor(now);
+    best.hasNoBacklog =
+            chosen->unanswered == 0
+            && chosen->peerBacklog.ahead(PrefillBacklog::Urgencies - 1, now) <= Millis::zero()
+            && (now - chosen->reportedAt > ReportLifetime || chosen->reportedWaiting == 0);
+    best.part = hasPreferredEngine ? query.partKey() : 0;
     best.sharedTokens = query.sharedTokens;
     best.backend = chosen->entry;
     best.weights = weightsOf(*chosen, query.model);
-    best.candidates = open.size();
+    best.candidates = available.size();
     return best;
 }
 
--- a/src/vanilladyke/policy/backend_fleet_test.cpp
+++ b/src/vanilladyke/policy/backend_fleet_test.cpp
@@ -1,5 +1,5 @@
 #include "vanilladyke/base/random.hpp"
-#include "vanilladyke/policy/backend_book.hpp"
+#include "vanilladyke/policy/backend_tracker.hpp"
 #include "vanilladyke/policy/wait_limit.hpp"
 
 #include <gtest/gtest.h>
@@ -9,8 +9,8 @@
 #include <queue>
 #include <set>
 
-/// Replays the load of a whole fleet against the books of all its nodes, without a network: engines
-/// that read prompts one after the other, and nodes that hear from each other now and then.
+/// Simulates the load of a whole fleet with the trackers of all its nodes, without a network:
+/// engines that prefill one prompt after the other, and nodes that exchange updates at intervals.
 namespace vanilladyke {
 namespace {
 
@@ -26,11 +26,11 @@
     double longPerMs = 0.235;
     double shortPerMs = 0.797;
     int parts = 4000;
-    int tellEvery = 640;   ///< ms between two tellings of a node
-    int leastBetween = 80; ///< ms, for news of long prompts
+    int updateInterval = 640; ///< ms between two load updates of a node
+    int minUpdateGap = 80;    ///< ms, minimum between two updates with placements
     int runMs = 20'000;
     int stores = 3;
-    bool refuses = false; ///< what would wait for a part of its target
+    bool refuses = false; ///< requests with a long predicted wait are refused
 };
 
 struct Result
@@ -39,15 +39,15 @@
     double longP99 = 0;
     double longMean = 0;
     int shed = 0;
-    int sharedReads = 0; ///< times that a shared part was read through
+    int sharedPrefills = 0; ///< number of complete prefills of shared parts
     int longs = 0;
     int shorts = 0;
     int refusedLongs = 0;
     int refusedShorts = 0;
-    int falselyRefused = 0; ///< though the engine had so little to read
+    int falselyRefused = 0; ///< although the engine's backlog was below the limit
 };
 
-/// A link over which transfers go one after the other.
+/// A link that carries one transfer after the other.
 class TrialLink
 {
 public:
@@ -67,8 +67,7 @@
     double m_until = 0;
 };
 
-/// One engine: it reads prompts in the order of their coming, and forgets what was used longest
-/// ago.
+/// One engine: it prefills prompts in order of arrival, and evicts the least recently used parts.
 class TrialEngine
 {
 public:
@@ -78,8 +77,8 @@
     static constexpr std::size_t Slots = 16;
     static constexpr std::size_t Queue = 48;
 
-    /// @return ms until what it has to read is read
-    [[nodiscard]] double waits(double now) const { return std::max(0.0, m_readUntil - now); }
+    /// @return ms until its backlog is processed
+    [[nodiscard]] double backlogMs(double now) const { return std::max(0.0, m_busyUntil - now); }
 
     [[nodiscard]] bool holds(int part) const
     {
@@ -87,7 +86,7 @@
                            [part](const auto &each) { return each.first == part; });
     }
 
-    void keep(int part, double tokens)
+    void cache(int part, double tokens)
     {
         std::erase_if(m_parts, [part](const auto &each) { return each.first == part; });
         m_parts.emplace_back(part, tokens);
@@ -101,26 +100,26 @@
         }
     }
 
-    /// @param from when what is fetched is here; others are read meanwhile
-    /// @return when the first token comes
-    double read(double now, double from, double tokens)
+    /// @param from arrival time of a fetched part; other prompts are prefilled meanwhile
+    /// @return time of the first token
+    double prefill(double now, double from, double tokens)
     {
-        m_readUntil = std::max(now, m_readUntil) + tokens / TokensPerMs;
-        return std::max(from + tokens / TokensPerMs, m_readUntil) + FirstTokenMs;
+        m_busyUntil = std::max(now, m_busyUntil) + tokens / TokensPerMs;
+        return std::max(from + tokens / TokensPerMs, m_busyUntil) + FirstTokenMs;
     }
 
-    int open = 0; ///< requests that are here
+    int open = 0; ///< requests at the engine
     TrialLink link{2500};
 
 private:
-    std::deque<std::pair<int, double>> m_parts; ///< last used last, with their tokens
-    double m_readUntil = 0;
+    std::deque<std::pair<int, double>> m_parts; ///< with their tokens, the most recently used last
+    double m_busyUntil = 0;
 };
 
 class FleetTrial
 {
 public:
-    FleetTrial(const Load &load, const BackendRates &rates)
+    FleetTrial(const Load &load, const BackendCostParameters &rates)
         : m_load(load)
         , m_random(11)
         , m_engines(static_cast<std::size_t>(load.engines))
@@ -149,7 +148,7 @@
             }
             m_kept.back().setStores(stores);
         }
-        m_toldAt.resize(m_nodes.size());
+        m_updatedAt.resize(m_nodes.size());
         m_stores.resize(static_cast<std::size_t>(load.stores), TrialLink(660));
         m_inStore.resize(static_cast<std::size_t>(load.stores));
     }
@@ -158,7 +157,7 @@
     {
         for (int ms = 0; ms < m_load.runMs; ++ms) {
             finish(ms);
-            tell(ms);
+            sendUpdates(ms);
             for (int i = arrivals(m_load.longPerMs); i > 0; --i) {
                 send(ms, true);
             }
@@ -181,7 +180,7 @@
         std::size_t node = 0;
         std::size_t engine = 0;
         BackendChoice choice;
-        bool isEnd = false; ///< else its first token
+        bool isEnd = false; ///< otherwise the first token
 
         bool operator>(const Running &other) const { return at > other.at; }
     };
@@ -204,40 +203,40 @@
         while (!m_running.empty() && m_running.top().at <= ms) {
             const Running now = m_running.top();
             m_running.pop();
-            BackendBook &book = m_nodes[now.node];
+            BackendTracker &tracker = m_nodes[now.node];
             TrialEngine &engine = m_engines[now.engine];
             if (now.isEnd) {
                 --engine.open;
-                book.ended(now.choice, true, false, at(ms));
+                tracker.ended(now.choice, true, false, at(ms));
                 continue;
             }
             const int running = std::min<int>(engine.open, TrialEngine::Slots);
-            book.reported(now.choice.backend.id, running, engine.open - running, at(ms));
-            book.began(now.choice, at(ms));
+            tracker.reported(now.choice.backend.id, running, engine.open - running, at(ms));
+            tracker.began(now.choice, at(ms));
             constexpr double StepMs = 6;
             constexpr double Tokens = 8;
             m_running.push({ms + StepMs * Tokens, now.node, now.engine, now.choice, true});
         }
     }
 
-    void tell(int ms)
+    void sendUpdates(int ms)
     {
         for (std::size_t from = 0; from < m_nodes.size(); ++from) {
             const bool isUrgent =
-                    m_nodes[from].hasPlacements() && ms - m_toldAt[from] >= m_load.leastBetween;
-            if ((ms + static_cast<int>(from) * 17) % m_load.tellEvery != 0 && !isUrgent) {
+                    m_nodes[from].hasPlacements() && ms - m_updatedAt[from] >= m_load.minUpdateGap;
+            if ((ms + static_cast<int>(from) * 17) % m_load.updateInterval != 0 && !isUrgent) {
                 continue;
             }
-            m_toldAt[from] = ms;
-            const auto news = m_nodes[from].ownLoad(1000, at(ms));
+            m_updatedAt[from] = ms;
+            const auto updates = m_nodes[from].ownLoad(1000, at(ms));
             const auto placements = m_nodes[from].takePlacements();
             for (std::size_t to = 0; to < m_nodes.size(); ++to) {
                 if (to != from) {
-                    m_nodes[to].heardLoad(from, news, at(ms));
-                    m_nodes[to].heardPlacements(placements, at(ms));
-                    for (const PlacementNews &each : placements) {
+                    m_nodes[to].receivedLoad(from, updates, at(ms));
+                    m_nodes[to].receivedPlacements(placements, at(ms));
+                    for (const PlacementUpdate &each : placements) {
                         if (each.saved != 0) {
-                            m_kept[to].toldSaved(each.saved, at(ms));
+                            m_kept[to].recordSaved(each.saved, at(ms));
                         }
                     }
                 }
@@ -276,7 +275,7 @@
             }
             if (engine.open >= static_cast<int>(TrialEngine::Slots + TrialEngine::Queue)) {
                 ++m_result.shed;
-                m_nodes[node].close(choice->backend.id, at(ms));
+                m_nodes[node].exclude(choice->backend.id, at(ms));
                 query.exclude.push_back(choice->backend.id);
                 continue;
             }
@@ -289,13 +288,13 @@
     bool isRefused(int ms, const BackendQuery &query, const BackendChoice &choice,
                    const TrialEngine &engine, bool isLong)
     {
-        const WaitTerms terms{query.target, at(ms) + std::chrono::seconds(4)};
-        if (!refusedUntil(terms, choice.waits, at(ms))) {
+        const WaitLimits limits{query.target, at(ms) + std::chrono::seconds(4)};
+        if (!refusedUntil(limits, choice.wait, at(ms))) {
             return false;
         }
         ++(isLong ? m_result.refusedLongs : m_result.refusedShorts);
-        const double most = terms.mostPart * Millis(query.target).count();
-        m_result.falselyRefused += engine.waits(ms) < most ? 1 : 0;
+        const double most = limits.maxFraction * Millis(query.target).count();
+        m_result.falselyRefused += engine.backlogMs(ms) < most ? 1 : 0;
         return true;
     }
 
@@ -311,23 +310,23 @@
                 const std::optional<double> fetched = fetch(ms, choice, part, shared);
                 from = fetched.value_or(ms);
                 tokens += fetched ? 0 : shared;
-                m_result.sharedReads += fetched ? 0 : 1;
+                m_result.sharedPrefills += fetched ? 0 : 1;
             }
-            engine.keep(part, shared);
-            engine.keep(--m_ownPart, tokens);
+            engine.cache(part, shared);
+            engine.cache(--m_ownPart, tokens);
             if (choice.saveTo) {
-                m_kept[node].toldSaved(
+                m_kept[node].recordSaved(
                         KeptCacheView::keyOf(cacheSalt(llmModel, 1, {}), query.sharedPart), at(ms));
                 m_inStore[choice.saveTo->port].insert(part);
             }
         }
         ++engine.open;
-        const double first = engine.read(ms, from, tokens);
+        const double first = engine.prefill(ms, from, tokens);
         (isLong ? m_longs : m_shorts).push_back(first - ms);
         m_running.push({first, node, index, choice, false});
     }
 
-    /// @return when the part is there; none if its source has it not
+    /// @return arrival time of the part; none if the source does not have it
     std::optional<double> fetch(double now, const BackendChoice &choice, int part, double tokens)
     {
         if (!choice.fetchFrom) {
@@ -344,12 +343,12 @@
 
     Load m_load;
     Random m_random;
-    std::vector<BackendBook> m_nodes;
+    std::vector<BackendTracker> m_nodes;
     std::vector<KeptCacheView> m_kept; ///< of each node
-    std::vector<int> m_toldAt;         ///< ms, of each node
+    std::vector<int> m_updatedAt;      ///< ms, of each node
     std::vector<TrialLink> m_stores;
     std::vector<std::set<int>> m_inStore;
-    int m_ownPart = 0; ///< parts that no other request has are numbered downwards
+    int m_ownPart = 0; ///< parts that no other request shares have descending negative numbers
     std::vector<TrialEngine> m_engines;
     std::priority_queue<Running, std::vector<Running>, std::greater<>> m_running;
     std::vector<double> m_shorts;
@@ -357,9 +356,9 @@
     Result m_result;
 };
 
-Result play(const Load &load)
+Result simulate(const Load &load)
 {
-    BackendRates rates;
+    BackendCostParameters rates;
     rates.keptTokensPerMs = 660;
     rates.engineTokensPerMs = 2500;
     return FleetTrial(load, rates).run();
@@ -373,14 +372,15 @@
     return load;
 }
 
-// 72 nodes, 72 engines, one and a half times the usual load; more parts than all engines hold. With
-// news of long prompts half a second late every node takes the engines that were idle then.
-TEST(BackendFleet, LongPromptsThatAreToldAtOnceDoNotMeet)
+// 72 nodes and 72 engines at one and a half times the usual load, with more parts than all engines
+// hold. Guards against updates on long prompts that are half a second late, so that every node
+// selects the engines that were idle then.
+TEST(BackendFleet, PlacementUpdatesSentAtOnceKeepLongPromptsApart)
 {
-    const Result now = play(scaled(1.5));
+    const Result now = simulate(scaled(1.5));
     Load late = scaled(1.5);
-    late.leastBetween = late.runMs;
-    const Result before = play(late);
+    late.minUpdateGap = late.runMs;
+    const Result before = simulate(late);
     RecordProperty("short_p99_ms", static_cast<int>(now.shortP99));
     RecordProperty("long_p99_ms", static_cast<int>(now.longP99));
     EXPECT_EQ(now.shed, 0);
@@ -390,31 +390,30 @@
     EXPECT_GT(before.longP99, 1.3 * now.longP99);
 }
 
-// Half of the long prompts would be fetched from the one store of the fleet, whose link carries a
-// fifth of them. Queued there, they wait for seconds.
-TEST(BackendFleet, OneStoreForAllIsNotQueuedAt)
+// Half of the long prompts would be fetched from the only store of the fleet, whose link carries a
+// fifth of them. Guards against a queue of seconds there.
+TEST(BackendFleet, ASingleStoreIsNotOverloaded)
 {
     Load load = scaled(1.0);
     load.stores = 1;
     load.parts = 1023;
-    const Result result = play(load);
+    const Result result = simulate(load);
     EXPECT_LT(result.longMean, 220);
     EXPECT_LT(result.longP99, 900);
 }
 
-// With a store beside the homes in each of three data centres, nearly all that an engine has pushed
-// out is fetched.
-TEST(BackendFleet, AStoreInEachDataCentreSavesNearlyAllSecondReads)
+// With a store in each of three data centres, nearly all parts that an engine evicted are fetched.
+TEST(BackendFleet, AStoreInEachDataCentreSavesNearlyAllRepeatedPrefills)
 {
     Load load = scaled(1.0);
     load.parts = 1023;
-    const Result result = play(load);
-    EXPECT_LT(result.sharedReads, 1.15 * load.parts);
+    const Result result = simulate(load);
+    EXPECT_LT(result.sharedPrefills, 1.15 * load.parts);
     EXPECT_LT(result.longP99, 450);
 }
 
-/// 295 nodes before 128 engines. A node sends a long prompt every other second, and tells of it at
-/// once as far as hundreds of receivers allow.
+/// 295 nodes and 128 engines. A node sends a long prompt every other second, and reports it as soon
+/// as the update rate towards hundreds of receivers permits.
 Load largeFleet(double factor)
 {
     Load load;
@@ -423,29 +422,30 @@
     load.longPerMs = 0.182 * factor;
     load.shortPerMs = 0.547 * factor;
     load.parts = 1734;
-    load.tellEvery = 2640;
-    load.leastBetween = 330;
+    load.updateInterval = 2640;
+    load.minUpdateGap = 330;
     load.runMs = 6'000;
     load.stores = 6;
     load.refuses = true;
     return load;
 }
 
-// Engines read for a fifth of the time, and each long prompt is read a tenth of a second after it
-// was sent. The nodes that sent them tell anew seconds later: a caller is refused, although every
-// engine is idle.
-TEST(BackendFleet, WhatWasToldSecondsAgoRefusesNobody)
+// Engines are busy for a fifth of the time, and each long prompt is prefilled a tenth of a second
+// after it was sent, while the next update of its node follows seconds later. Guards against
+// refusing callers although every engine is idle.
+TEST(BackendFleet, LoadReportedSecondsAgoRefusesNobody)
 {
-    const Result result = play(largeFleet(1));
+    const Result result = simulate(largeFleet(1));
     EXPECT_EQ(result.refusedLongs + result.refusedShorts, 0);
     EXPECT_LT(result.longP99, 450);
 }
 
-// Callers come three times as often. The few engines that a node weighs for a long prompt have a
-// queue now and then, while others in the fleet are idle: a caller is refused though there is room.
-TEST(BackendFleet, OthersAreWeighedBeforeAnybodyIsRefused)
+// The load is three times as high. The few engines that a node evaluates for a long prompt
+// occasionally have a queue while others are idle. Guards against refusing a caller although there
+// is capacity.
+TEST(BackendFleet, FurtherServersAreEvaluatedBeforeARequestIsRefused)
 {
-    const Result result = play(largeFleet(3));
+    const Result result = simulate(largeFleet(3));
     EXPECT_EQ(result.falselyRefused, 0);
     EXPECT_LT(result.longP99, 600);
     EXPECT_LT(result.shortP99, 400);
--- a/src/vanilladyke/policy/backend_slots_test.cpp
+++ b/src/vanilladyke/policy/backend_slots_test.cpp
@@ -1,6 +1,6 @@
 #include "vanilladyke/base/random.hpp"
 #include "vanilladyke/model/fleet_index.hpp"
-#include "vanilladyke/policy/backend_book.hpp"
+#include "vanilladyke/policy/backend_tracker.hpp"
 #include "vanilladyke/policy/wait_limit.hpp"
 
 #include <gtest/gtest.h>
@@ -9,8 +9,8 @@
 #include <deque>
 #include <queue>
 
-/// Replays a hot prompt part that shifts, before engines with few slots and short answers, against
-/// the books of nine nodes. Without a network.
+/// Simulates nine nodes and engines with few slots and short answers under a hot shared part that
+/// changes. Without a network.
 namespace vanilladyke {
 namespace {
 
@@ -22,9 +22,9 @@
 constexpr int Nodes = 9;
 constexpr int Engines = 18;
 constexpr int Slots = 6;
-constexpr double AnswerMs = 400; ///< half to one and a half times that
+constexpr double AnswerMs = 400; ///< mean; uniform from half to one and a half times that
 constexpr double RequestsPerMs = 0.10;
-constexpr double HotPart = 0.7; ///< of the requests; another one each ShiftMs
+constexpr double HotFraction = 0.7; ///< fraction of the requests; the part changes every ShiftMs
 constexpr int ShiftMs = 3000;
 constexpr double TokensPerMs = 112;
 constexpr double FetchedPerMs = 2500;
@@ -47,32 +47,32 @@
     BackendChoice choice;
 };
 
-/// Gives its slots in the order of coming, and reads one prompt after the other.
+/// Assigns its slots in order of arrival, and prefills one prompt after the other.
 struct SlotEngine
 {
     int running = 0;
     std::deque<Sent> waiting;
-    double readUntil = 0;
-    std::deque<int> parts; ///< in its memory, last used last
+    double busyUntil = 0;
+    std::deque<int> parts; ///< in its cache, the most recently used last
 
     /// @return when the first token comes
-    double read(const Sent &request, double now)
+    double prefill(const Sent &request, double now)
     {
         constexpr double FirstTokenMs = 31;
         constexpr std::size_t MostParts = 9;
         const auto known = std::find(parts.begin(), parts.end(), request.part);
-        double reads = OwnTokens / TokensPerMs;
+        double prefillMs = OwnTokens / TokensPerMs;
         if (known != parts.end()) {
             parts.erase(known);
         } else {
-            reads += SharedTokens / (request.choice.fetchFrom ? FetchedPerMs : TokensPerMs);
+            prefillMs += SharedTokens / (request.choice.fetchFrom ? FetchedPerMs : TokensPerMs);
         }
         parts.push_back(request.part);
         if (parts.size() > MostParts) {
             parts.pop_front();
         }
-        readUntil = std::max(now, readUntil) + reads;
-        return readUntil + FirstTokenMs;
+        busyUntil = std::max(now, busyUntil) + prefillMs;
+        return busyUntil + FirstTokenMs;
     }
 };
 
@@ -102,8 +102,8 @@
             entries.push_back(entry);
         }
         for (std::uint64_t i = 1; i <= Nodes; ++i) {
-            m_nodes.emplace_back(DataCentreId("dc" + std::to_string(i % 3)), BackendRates(),
-                                 mixBits(i));
+            m_nodes.emplace_back(DataCentreId("dc" + std::to_string(i % 3)),
+                                 BackendCostParameters(), mixBits(i));
             m_nodes.back().setBackends(entries);
         }
     }
@@ -115,11 +115,11 @@
             while (!m_events.empty() && m_events.top().at <= ms) {
                 const Event event = m_events.top();
                 m_events.pop();
-                happen(event, ms);
+                process(event, ms);
             }
-            tell(ms);
+            sendUpdates(ms);
             for (int i = std::poisson_distribution<int>(RequestsPerMs)(m_random); i > 0; --i) {
-                ask(ms);
+                send(ms);
             }
         }
         return m_outcome;
@@ -132,39 +132,39 @@
     {
         double at = 0;
         Sent request;
-        bool isEnd = false; ///< else its first token
+        bool isEnd = false; ///< otherwise the first token
 
         bool operator>(const Event &other) const { return at > other.at; }
     };
 
-    void tell(int ms)
+    void sendUpdates(int ms)
     {
-        constexpr int TellEvery = 200;
-        constexpr int TellPlacementsEvery = 80;
+        constexpr int UpdateInterval = 200;
+        constexpr int PlacementInterval = 80;
         constexpr int NodeOffset = 17;
         for (std::size_t from = 0; from < m_nodes.size(); ++from) {
             const int own = ms + static_cast<int>(from) * NodeOffset;
-            const bool isUrgent = m_nodes[from].hasPlacements() && own % TellPlacementsEvery == 0;
-            if (own % TellEvery != 0 && !isUrgent) {
+            const bool isUrgent = m_nodes[from].hasPlacements() && own % PlacementInterval == 0;
+            if (own % UpdateInterval != 0 && !isUrgent) {
                 continue;
             }
-            const auto news = m_nodes[from].ownLoad(Engines, at(ms));
+            const auto updates = m_nodes[from].ownLoad(Engines, at(ms));
             const auto placements = m_nodes[from].takePlacements();
             for (std::size_t to = 0; to < m_nodes.size(); ++to) {
                 if (to != from) {
-                    m_nodes[to].heardLoad(from, news, at(ms));
-                    m_nodes[to].heardPlacements(placements, at(ms));
+                    m_nodes[to].receivedLoad(from, updates, at(ms));
+                    m_nodes[to].receivedPlacements(placements, at(ms));
                 }
             }
         }
     }
 
-    void ask(int ms)
+    void send(int ms)
     {
         constexpr int Others = 60;
         Sent request;
         request.node = uniformBelow(m_random, Nodes);
-        const bool isHot = uniform(m_random) < HotPart;
+        const bool isHot = uniform(m_random) < HotFraction;
         request.part =
                 isHot ? Others + ms / ShiftMs : static_cast<int>(uniformBelow(m_random, Others));
         request.sentAt = ms;
@@ -176,8 +176,8 @@
         query.ownTokens = static_cast<std::uint64_t>(OwnTokens);
         query.target = milliseconds(static_cast<int>(TargetMs));
         const auto choice = m_nodes[request.node].choose(query, at(ms));
-        const WaitTerms terms{query.target, at(ms) + std::chrono::seconds(6)};
-        if (!choice || refusedUntil(terms, choice->waits, at(ms))) {
+        const WaitLimits limits{query.target, at(ms) + std::chrono::seconds(6)};
+        if (!choice || refusedUntil(limits, choice->wait, at(ms))) {
             ++m_outcome.refused;
             return;
         }
@@ -195,24 +195,24 @@
             const Sent request = engine.waiting.front();
             engine.waiting.pop_front();
             ++engine.running;
-            m_events.push({engine.read(request, now), request, false});
+            m_events.push({engine.prefill(request, now), request, false});
         }
     }
 
-    void happen(const Event &event, int ms)
+    void process(const Event &event, int ms)
     {
         const Sent &request = event.request;
-        BackendBook &book = m_nodes[request.node];
+        BackendTracker &tracker = m_nodes[request.node];
         SlotEngine &engine = m_engines[request.engine];
         if (event.isEnd) {
             --engine.running;
-            book.ended(request.choice, true, false, at(ms));
+            tracker.ended(request.choice, true, false, at(ms));
             startWhatFits(request.engine, ms);
             return;
         }
-        book.reported(request.choice.backend.id, engine.running,
-                      static_cast<int>(engine.waiting.size()), at(ms));
-        book.began(request.choice, at(ms));
+        tracker.reported(request.choice.backend.id, engine.running,
+                         static_cast<int>(engine.waiting.size()), at(ms));
+        tracker.began(request.choice, at(ms));
         if (ms > WarmUpMs) {
             ++m_outcome.served;
             m_outcome.late += event.at - request.sentAt > TargetMs ? 1 : 0;
@@ -222,14 +222,15 @@
 
     Random m_random;
     std::vector<SlotEngine> m_engines;
-    std::vector<BackendBook> m_nodes;
+    std::vector<BackendTracker> m_nodes;
     std::priority_queue<Event, std::vector<Event>, std::greater<>> m_events;
     Outcome m_outcome;
 };
 
-// Guards against callers who wait for a slot at the hot part's home, where each one ahead was taken
-// to cost 30 ms whatever the engine's answers and slots, while other engines have slots free.
-TEST(BackendSlots, AHotPartThatShiftsMakesHardlyAnybodyLateWhereAnswersAreShort)
+// Guards against callers waiting for a slot at the hot part's preferred engine, because each
+// request ahead was assumed to take 30 ms whatever the engine's answers and slots, while other
+// engines have free slots.
+TEST(BackendSlots, AChangingHotPartCausesFewLateFirstTokensWithShortAnswers)
 {
     Outcome all;
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
--- a/src/vanilladyke/policy/engine_limit_test.cpp
+++ b/src/vanilladyke/policy/engine_limit_test.cpp
@@ -16,16 +16,16 @@
 
 constexpr TimePoint Start{seconds(1000)};
 
-/// The limit's own figures: what may come in some Window, from Contact after it was named.
+/// The requirement: the number of requests in any Window, from Contact after the limit was set.
 constexpr Duration Window = seconds(4);
 constexpr Duration Contact = seconds(3);
 constexpr double Allowed = 1.5;
 constexpr double AllowedExtra = 5;
 
-void tell(const EngineLimit &from, std::uint64_t node, EngineLimit &to, TimePoint now)
+void sendUpdate(const EngineLimit &from, std::uint64_t node, EngineLimit &to, TimePoint now)
 {
-    if (const auto news = from.toTell(now)) {
-        static_cast<void>(to.heard(node, *news, now));
+    if (const auto update = from.pendingUpdate(now)) {
+        static_cast<void>(to.received(node, *update, now));
     }
 }
 
@@ -33,14 +33,14 @@
 {
     std::size_t nodes = 9;
     double limit = 5;
-    double demand = 15; ///< requests a second that would go to the engine, over all nodes
-    Duration telling = milliseconds(80);
-    double lost = 0.03;   ///< of the datagrams
-    double hotPart = 0.2; ///< of the demand that comes to the first node
+    double demand = 15; ///< requests a second for the engine, over all nodes
+    Duration updateInterval = milliseconds(80);
+    double lost = 0.03;       ///< fraction of the datagrams
+    double hotFraction = 0.2; ///< fraction of the demand at the first node
 };
 
-/// Nodes that want to send to one engine and tell each other each `telling`, at moments of their
-/// own.
+/// Nodes with requests for one engine that send each other updates every `updateInterval`, with
+/// random offsets.
 class Replay
 {
 public:
@@ -50,7 +50,7 @@
         , m_nodes(load.nodes)
     {
         for (std::size_t i = 0; i < load.nodes; ++i) {
-            m_tellAt.push_back(Start + load.telling * uniformBelow(m_random, 1000) / 1000);
+            m_updateAt.push_back(Start + load.updateInterval * uniformBelow(m_random, 1000) / 1000);
         }
     }
 
@@ -58,13 +58,13 @@
     {
         for (TimePoint now = Start; now < Start + span; now += Step) {
             if (uniform(m_random) < m_load.demand * secondsOf(Step)) {
-                const bool isHot = uniform(m_random) < m_load.hotPart;
-                want(isHot ? 0 : uniformBelow(m_random, m_nodes.size()), now);
+                const bool isHot = uniform(m_random) < m_load.hotFraction;
+                request(isHot ? 0 : uniformBelow(m_random, m_nodes.size()), now);
             }
             for (std::size_t i = 0; i < m_nodes.size(); ++i) {
-                if (m_tellAt[i] <= now) {
-                    m_tellAt[i] = now + m_load.telling;
-                    tellAll(i, now);
+                if (m_updateAt[i] <= now) {
+                    m_updateAt[i] = now + m_load.updateInterval;
+                    sendUpdates(i, now);
                 }
             }
             answer(now);
@@ -76,7 +76,7 @@
     static constexpr Duration Step = milliseconds(5);
     static constexpr Duration AnswerTime = milliseconds(100);
 
-    void want(std::size_t node, TimePoint now)
+    void request(std::size_t node, TimePoint now)
     {
         if (m_nodes[node].allows(uniform(m_random), now)) {
             m_nodes[node].sent(now);
@@ -85,11 +85,11 @@
         }
     }
 
-    void tellAll(std::size_t from, TimePoint now)
+    void sendUpdates(std::size_t from, TimePoint now)
     {
         for (std::size_t to = 0; to < m_nodes.size(); ++to) {
             if (to != from && uniform(m_random) >= m_load.lost) {
-                tell(m_nodes[from], from, m_nodes[to], now);
+                sendUpdate(m_nodes[from], from, m_nodes[to], now);
             }
         }
     }
@@ -108,7 +108,7 @@
     Load m_load;
     Random m_random;
     std::vector<EngineLimit> m_nodes;
-    std::vector<TimePoint> m_tellAt;
+    std::vector<TimePoint> m_updateAt;
     std::vector<TimePoint> m_sent;
     std::vector<std::pair<std::size_t, TimePoint>> m_open;
 };
@@ -140,9 +140,9 @@
     }
 }
 
-// Each node took the limit for its own, or sent what it wanted: the sum was several times the
-// limit.
-TEST(EngineLimit, ReplayOfNineNodesKeepsTheSum)
+// Guards against each node using the limit as its own or ignoring it: the sum would be several
+// times the limit.
+TEST(EngineLimit, SimulationOfNineNodesKeepsTheLimit)
 {
     for (const double limit : {0.5, 1.0, 2.5, 5.0, 20.0}) {
         for (const double demand : {4.0, 15.0, 60.0}) {
@@ -151,8 +151,9 @@
     }
 }
 
-// News of hundreds of nodes is half a second old: each would take the same token.
-TEST(EngineLimit, ReplayOfHundredsOfNodesKeepsTheSum)
+// Updates of hundreds of nodes are half a second old. Guards against each node taking the same
+// token.
+TEST(EngineLimit, SimulationOfHundredsOfNodesKeepsTheLimit)
 {
     for (const double limit : {1.0, 5.0}) {
         for (const double demand : {15.0, 60.0}) {
@@ -161,58 +162,59 @@
     }
 }
 
-// Nodes that heard nothing of the engine themselves would send as before.
-TEST(EngineLimit, HoldsAtNodesThatOnlyHearOfIt)
+// Guards against nodes that received no answer of the engine themselves sending without a limit.
+TEST(EngineLimit, AppliesAtNodesThatOnlyReceiveTheUpdate)
 {
     EngineLimit first;
     EngineLimit second;
     EXPECT_TRUE(first.observed(5, Start));
-    tell(first, 1, second, Start + milliseconds(50));
+    sendUpdate(first, 1, second, Start + milliseconds(50));
     EXPECT_EQ(second.perSecond(), 5);
     EXPECT_FALSE(second.allows(0, Start + milliseconds(60)));
     EXPECT_TRUE(second.allows(0, Start + milliseconds(400)));
-    EXPECT_FALSE(second.toTell(Start + milliseconds(400)));
+    EXPECT_FALSE(second.pendingUpdate(Start + milliseconds(400)));
 }
 
-// A limit that is over went on at nodes that sent nothing there; an old word brought it back.
+// Guards against a lifted limit that remains at nodes without requests there, or that an outdated
+// update restores.
 TEST(EngineLimit, TheNewestAnswerOfAnyNodeDecides)
 {
     EngineLimit first;
     EngineLimit second;
     static_cast<void>(first.observed(5, Start));
-    tell(first, 1, second, Start);
-    EXPECT_FALSE(
-            first.observed(std::nullopt, Start + milliseconds(100))); // written before the limit
+    sendUpdate(first, 1, second, Start);
+    EXPECT_FALSE(first.observed(
+            std::nullopt, Start + milliseconds(100))); // may have been written before the limit
     EXPECT_EQ(first.perSecond(), 5);
     EXPECT_TRUE(second.observed(8, Start + seconds(1)));
-    tell(second, 2, first, Start + seconds(1));
+    sendUpdate(second, 2, first, Start + seconds(1));
     EXPECT_EQ(first.perSecond(), 8);
     EXPECT_TRUE(first.observed(std::nullopt, Start + seconds(2)));
-    tell(second, 2, first, Start + seconds(2)); // named a second ago
+    sendUpdate(second, 2, first, Start + seconds(2)); // an answer from a second ago
     EXPECT_FALSE(first.perSecond());
-    tell(first, 1, second, Start + seconds(2));
+    sendUpdate(first, 1, second, Start + seconds(2));
     EXPECT_FALSE(second.perSecond());
     EXPECT_TRUE(second.allows(0.99, Start + seconds(2)));
     EngineLimit third;
-    tell(second, 2, third, Start + seconds(3));
-    tell(first, 1, third, Start + seconds(3));
+    sendUpdate(second, 2, third, Start + seconds(3));
+    sendUpdate(first, 1, third, Start + seconds(3));
     EXPECT_FALSE(third.perSecond());
-    EXPECT_FALSE(first.toTell(Start + seconds(8)));
+    EXPECT_FALSE(first.pendingUpdate(Start + seconds(8)));
 }
 
-// An engine that takes nothing would never be asked again, and nobody would notice that its need is
-// over.
-TEST(EngineLimit, AnEngineThatTakesNothingIsAskedNowAndThen)
+// Guards against never sending to an engine with a limit of zero, which would hide the end of the
+// limit.
+TEST(EngineLimit, AnEngineWithALimitOfZeroIsProbed)
 {
     EngineLimit limit;
     static_cast<void>(limit.observed(0, Start));
     EXPECT_FALSE(limit.allows(0, Start + seconds(3)));
-    EXPECT_LE(limit.opensAt(Start), Start + seconds(5));
+    EXPECT_LE(limit.nextAllowedAt(Start), Start + seconds(5));
     EXPECT_TRUE(limit.allows(0, Start + seconds(5)));
 }
 
-// A datagram that is lost, or a node that began anew, would let through what others had sent
-// already.
+// Guards against a lost datagram or a restarted node letting through requests that others have
+// already sent.
 TEST(EngineLimit, CountsOfOthersMakeUpForLostDatagrams)
 {
     EngineLimit first;
@@ -221,16 +223,16 @@
     static_cast<void>(second.observed(2, Start));
     const TimePoint now = Start + seconds(1);
     first.sent(now);
-    first.sent(now); // its telling is lost
+    first.sent(now); // the update is lost
     first.sent(now);
-    tell(first, 1, second, now);
+    sendUpdate(first, 1, second, now);
     EXPECT_FALSE(second.allows(0, now + milliseconds(900)));
-    tell(first, 1, second, now + milliseconds(900)); // the same count again
+    sendUpdate(first, 1, second, now + milliseconds(900)); // the same count as before
     EXPECT_TRUE(second.allows(0, now + milliseconds(1100)));
-    EngineLimit anew; // counts from nothing
+    EngineLimit anew; // a restarted node counts from zero
     static_cast<void>(anew.observed(2, now));
     anew.sent(now + seconds(1));
-    tell(anew, 1, second, now + seconds(1));
+    sendUpdate(anew, 1, second, now + seconds(1));
     EXPECT_FALSE(second.allows(0, now + seconds(1)));
 }
 
--- a/src/vanilladyke/policy/fetch_share_test.cpp
+++ b/src/vanilladyke/policy/fetch_share_test.cpp
@@ -15,8 +15,8 @@
     return TimePoint(std::chrono::hours(1) + std::chrono::milliseconds(millis));
 }
 
-/// The part of the link that is used when a part of 13,300 tokens is wanted every @p everyMs, once
-/// the demand is known.
+/// Used fraction of the link if a part of 13,300 tokens is requested every @p everyMs, measured
+/// once the demand is known.
 double linkUse(int everyMs)
 {
     constexpr double Tokens = 13'300;
@@ -28,26 +28,26 @@
     for (int ms = 0; ms < RunMs; ms += everyMs) {
         const bool isAllowed = share.allows(Store, LinkTokensPerMs, uniform(random), at(ms));
         fetched += isAllowed && ms >= KnownFromMs ? Tokens : 0;
-        share.wanted(Store, Tokens, at(ms));
+        share.recordDemand(Store, Tokens, at(ms));
     }
     return fetched / (LinkTokensPerMs * (RunMs - KnownFromMs));
 }
 
-TEST(FetchShare, WhatTheLinkCanCarryIsAllFetched)
+TEST(FetchShare, DemandWithinTheLinkCapacityIsFetchedCompletely)
 {
     EXPECT_NEAR(linkUse(40), 13'300 / (40 * LinkTokensPerMs), 0.01);
 }
 
-// Three times as many fetches are wanted as the link can carry.
-TEST(FetchShare, OfMoreThanTheLinkCarriesAShareIsFetched)
+// The demand is three times the capacity of the link.
+TEST(FetchShare, DemandAboveTheLinkCapacityIsFetchedInPart)
 {
-    EXPECT_NEAR(linkUse(7), FetchShare::LinkPart, 0.08);
+    EXPECT_NEAR(linkUse(7), FetchShare::LinkFraction, 0.08);
 }
 
-TEST(FetchShare, WhatWasWantedLongAgoDoesNotCount)
+TEST(FetchShare, OldDemandExpires)
 {
     FetchShare share;
-    share.wanted(Store, 1e9, at(0));
+    share.recordDemand(Store, 1e9, at(0));
     EXPECT_FALSE(share.allows(Store, LinkTokensPerMs, 0.5, at(0)));
     EXPECT_TRUE(share.allows(Store, LinkTokensPerMs, 0.5, at(30'000)));
     EXPECT_TRUE(share.allows(Store + 1, LinkTokensPerMs, 0.5, at(0)));
--- a/src/vanilladyke/policy/second_send_budget_test.cpp
+++ b/src/vanilladyke/policy/fleet_retry_budget_test.cpp
@@ -1,4 +1,4 @@
-#include "vanilladyke/policy/second_send_budget.hpp"
+#include "vanilladyke/policy/fleet_retry_budget.hpp"
 
 #include "vanilladyke/base/random.hpp"
 
@@ -19,45 +19,45 @@
     return TimePoint(std::chrono::hours(1) + milliseconds(millis));
 }
 
-// All servers of a service refuse, and every node sends every request again as often as it may.
-// Without a bound over all nodes the service gets twice its load just when it is weak.
-TEST(SecondSendBudget, NodesTogetherStayBelowTheBoundInEveryWindow)
+// All servers of a service refuse, and every node retries as often as its budget allows. Guards
+// against doubling the load of a service that is already overloaded.
+TEST(FleetRetryBudget, NodesTogetherStayBelowTheBoundInEveryWindow)
 {
     constexpr int Nodes = 6;
-    const SecondSendTerms terms{0.2, 52, std::chrono::seconds(10), Nodes};
-    std::vector<SecondSendBudget> nodes(Nodes);
+    const FleetRetryLimits limits{0.2, 52, std::chrono::seconds(10), Nodes};
+    std::vector<FleetRetryBudget> nodes(Nodes);
     Random random(7);
     std::vector<int> requests;
-    std::vector<int> seconds;
+    std::vector<int> retries;
     for (auto &node : nodes) {
-        node.setTerms(terms);
+        node.setLimits(limits);
     }
     for (int ms = 0; ms < 60'000; ++ms) {
         const bool isBurst = ms > 20'000 && ms < 23'000;
         if (uniform(random) < (isBurst ? 0.6 : 0.2)) {
-            // The balancer's hash is uneven: the first node gets half of all.
+            // The load balancer distributes unevenly: the first node gets half of all requests.
             const std::size_t i = uniform(random) < 0.5 ? 0 : uniformBelow(random, Nodes);
             nodes[i].countRequest(theService, at(ms));
             requests.push_back(ms);
             while (nodes[i].spend(theService, at(ms))) {
-                seconds.push_back(ms);
+                retries.push_back(ms);
             }
         }
     }
-    EXPECT_GT(seconds.size(), 100U);
+    EXPECT_GT(retries.size(), 100U);
     for (int from = 0; from + 10'000 <= 60'000; from += 250) {
         const auto count = [from](const std::vector<int> &times) {
             return std::count_if(times.begin(), times.end(),
                                  [from](int ms) { return ms >= from && ms < from + 10'000; });
         };
-        EXPECT_LE(count(seconds), 0.2 * count(requests) + 52) << "window from " << from;
+        EXPECT_LE(count(retries), 0.2 * count(requests) + 52) << "window from " << from;
     }
 }
 
-TEST(SecondSendBudget, AQuietServiceMayUseTheExtra)
+TEST(FleetRetryBudget, AQuietServiceMayUseTheExtra)
 {
-    SecondSendBudget budget;
-    budget.setTerms({0.2, 30, std::chrono::seconds(10), 3});
+    FleetRetryBudget budget;
+    budget.setLimits({0.2, 30, std::chrono::seconds(10), 3});
     budget.countRequest(theService, at(0));
     int spent = 0;
     while (budget.spend(theService, at(1))) {
--- a/src/vanilladyke/policy/kept_cache_view_test.cpp
+++ b/src/vanilladyke/policy/kept_cache_view_test.cpp
@@ -17,7 +17,7 @@
     return view;
 }
 
-TEST(KeptCacheView, KnowsPartsUnderTheirSaltOnly)
+TEST(KeptCacheView, HoldsPartsUnderTheirSaltOnly)
 {
     KeptCacheView view = viewOf(KeptCacheState::Followed);
     const std::string first = cacheSalt(ModelId("m"), 1, {});
@@ -30,8 +30,8 @@
     EXPECT_FALSE(view.holds(storeHere, first, "p", start));
 }
 
-// The store restarts and comes back empty. Requests sent there for their parts would wait in vain.
-TEST(KeptCacheView, AStoreThatBeginsAnewHoldsNothing)
+// The store restarts and is empty. Guards against fetching parts that it no longer has.
+TEST(KeptCacheView, AResetStoreHoldsNothing)
 {
     KeptCacheView view = viewOf(KeptCacheState::Followed);
     view.changed(storeHere, "s", "p", 800);
@@ -39,34 +39,34 @@
     EXPECT_FALSE(view.holds(storeHere, "s", "p", start));
 }
 
-TEST(KeptCacheView, AStoreThatIsDownIsNotAsked)
+TEST(KeptCacheView, AStoreThatIsDownHoldsNothing)
 {
     KeptCacheView view = viewOf(KeptCacheState::Unknown);
-    view.toldSaved(KeptCacheView::keyOf("s", "p"), start);
+    view.recordSaved(KeptCacheView::keyOf("s", "p"), start);
     EXPECT_TRUE(view.holds(storeHere, "s", "p", start));
     view.reset(storeHere, KeptCacheState::Down);
-    EXPECT_FALSE(view.holds(storeHere, "s", "p", start)) << "asking costs hundreds of ms";
+    EXPECT_FALSE(view.holds(storeHere, "s", "p", start)) << "a request to it costs hundreds of ms";
     EXPECT_EQ(view.state(Endpoint{"10.9.9.9", 1}), KeptCacheState::Down);
 }
 
-// The store lets eight nodes of seventy follow its events. The others saved every part with every
-// request, and each prompt's own part pushed the shared ones out.
-TEST(KeptCacheView, ANodeThatCantFollowGoesByWhatNodesTellThatTheySaved)
+// The store accepts eight followers out of seventy nodes. Guards against the others saving every
+// part with every request, so that parts of single prompts evict the shared ones.
+TEST(KeptCacheView, WithoutFollowingTheUpdatesOnSavedPartsApply)
 {
     KeptCacheView view = viewOf(KeptCacheState::Unknown);
     EXPECT_FALSE(view.holds(storeHere, "s", "p", start));
-    view.toldSaved(KeptCacheView::keyOf("s", "p"), start);
+    view.recordSaved(KeptCacheView::keyOf("s", "p"), start);
     EXPECT_TRUE(view.holds(storeHere, "s", "p", start));
-    EXPECT_FALSE(view.holds(storeHere, "s", "p", start + KeptCacheView::ToldLife))
-            << "it may be pushed out";
+    EXPECT_FALSE(view.holds(storeHere, "s", "p", start + KeptCacheView::SavedLifetime))
+            << "it may have been evicted";
     view.reset(storeHere, KeptCacheState::Followed);
     EXPECT_FALSE(view.holds(storeHere, "s", "p", start))
-            << "what is followed is not believed by hearsay";
+            << "updates of nodes are ignored for a followed store";
 }
 
-// Each of three data centres has a store. One for all would have a third of the memory and of the
-// link, and each part in all three would leave each with a third of the parts.
-TEST(KeptCacheView, APartIsKeptBesideItsHome)
+// Each of three data centres has a store. A single store for all would have a third of the memory
+// and link capacity, and keeping each part in all three would leave room for a third of the parts.
+TEST(KeptCacheView, APartIsKeptInTheDataCentreOfItsPreferredEngine)
 {
     KeptCacheView view;
     EXPECT_EQ(view.storeOf(DataCentreId("here")), nullptr);
@@ -76,7 +76,7 @@
     EXPECT_NE(view.storeOf(DataCentreId("elsewhere")), nullptr);
 }
 
-TEST(KeptCacheView, StoresThatStayKeepWhatIsKnownOfThem)
+TEST(KeptCacheView, RemainingStoresKeepTheirState)
 {
     KeptCacheView view = viewOf(KeptCacheState::Followed);
     view.changed(storeHere, "s", "p", 800);
@@ -90,10 +90,10 @@
 TEST(KeptCacheView, ItsSizeIsBounded)
 {
     KeptCacheView view = viewOf(KeptCacheState::Followed);
-    for (std::size_t i = 0; i < KeptCacheView::MostParts + 100; ++i) {
+    for (std::size_t i = 0; i < KeptCacheView::MaxParts + 100; ++i) {
         view.changed(storeHere, "s", std::to_string(i), 1);
     }
-    EXPECT_EQ(view.size(), KeptCacheView::MostParts);
+    EXPECT_EQ(view.size(), KeptCacheView::MaxParts);
 }
 
 } // namespace
--- a/src/vanilladyke/policy/learning_test.cpp
+++ b/src/vanilladyke/policy/learning_test.cpp
@@ -10,8 +10,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Engines under memory pressure evict faster than the figures assume at start. Callers wait for
-// lost prefixes until the node has learned it, which must take few answers.
+// Engines under memory pressure evict faster than the initial estimate assumes. Callers wait for
+// lost prefixes until the estimate is corrected, which has to take few answers.
 TEST(Survival, FollowsWhatEnginesReportAsCached)
 {
     Survival survival;
@@ -26,7 +26,7 @@
     EXPECT_GT(survival.fraction(Evidence::Untrusted, seconds(3)), 0.4);
 }
 
-TEST(Survival, NothingBelievedMeansNothingExpected)
+TEST(Survival, WithoutEvidenceTheExpectedFractionIsZero)
 {
     EXPECT_EQ(Survival().fraction(Evidence::None, {}), 0.0);
 }
@@ -48,52 +48,52 @@
     EXPECT_EQ(work.count(Engine), 0U);
 }
 
-// A bulletin becomes the one that everybody asks about. On one engine its callers would queue;
-// it must get more homes within seconds, and give them up once the next bulletin is out.
-TEST(HotPrefixes, AHotPrefixGetsMoreHomesAndGivesThemUpWhenItCools)
+// One prefix becomes the subject of most requests. On a single engine its callers would queue: it
+// has to get more preferred engines within seconds, and lose them when its rate falls.
+TEST(HotPrefixes, AHotPrefixHasMorePreferredEnginesUntilItsRateFalls)
 {
     HotPrefixes hot;
-    const ChainHash bulletin{1, 1};
+    const ChainHash prefix{1, 1};
     TimePoint now;
-    std::uint32_t homes = 0;
+    std::uint32_t preferred = 0;
     for (int i = 0; i < 3000; ++i) {
         now += milliseconds(10);
-        homes = hot.countRequest(bulletin, std::chrono::milliseconds(20), 1, now);
+        preferred = hot.countRequest(prefix, std::chrono::milliseconds(20), 1, now);
     }
-    EXPECT_EQ(homes, 4U); // 100 a second at 20 ms fill two engines; at 60 % use, four
+    EXPECT_EQ(preferred, 4U); // 100 a second at 20 ms fill two engines; at 60 % utilisation, four
     now += seconds(60);
-    EXPECT_EQ(hot.countRequest(bulletin, std::chrono::milliseconds(20), 1, now), 1U);
+    EXPECT_EQ(hot.countRequest(prefix, std::chrono::milliseconds(20), 1, now), 1U);
 }
 
-TEST(HotPrefixes, ASmallChangeOfRateKeepsTheHomes)
+TEST(HotPrefixes, ASmallChangeOfRateKeepsThePreferredEngines)
 {
     HotPrefixes hot;
-    const ChainHash guide{1, 1};
+    const ChainHash prefix{1, 1};
     TimePoint now;
     for (int i = 0; i < 3000; ++i) {
         now += milliseconds(10);
-        static_cast<void>(hot.countRequest(guide, std::chrono::milliseconds(20), 1, now));
+        static_cast<void>(hot.countRequest(prefix, std::chrono::milliseconds(20), 1, now));
     }
     for (int i = 0; i < 1000; ++i) {
         now += milliseconds(12);
-        EXPECT_EQ(hot.countRequest(guide, std::chrono::milliseconds(20), 1, now), 4U);
+        EXPECT_EQ(hot.countRequest(prefix, std::chrono::milliseconds(20), 1, now), 4U);
     }
 }
 
 TEST(HotPrefixes, StaysBoundedAndKeepsTheHotOnes)
 {
     HotPrefixes hot;
-    const ChainHash guide{1, 1};
+    const ChainHash prefix{1, 1};
     TimePoint now;
-    std::uint32_t homes = 0;
+    std::uint32_t preferred = 0;
     for (std::uint64_t i = 0; i < 20'000; ++i) {
         now += milliseconds(1);
         static_cast<void>(hot.countRequest({2, i}, std::chrono::milliseconds(20), 1, now));
         if (i % 10 == 0) {
-            homes = hot.countRequest(guide, std::chrono::milliseconds(20), 1, now);
+            preferred = hot.countRequest(prefix, std::chrono::milliseconds(20), 1, now);
         }
     }
-    EXPECT_EQ(homes, 4U);
+    EXPECT_EQ(preferred, 4U);
 }
 
 } // namespace
--- a/src/vanilladyke/policy/wait_limit_test.cpp
+++ b/src/vanilladyke/policy/wait_limit_test.cpp
@@ -14,25 +14,26 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds Target{800};
-constexpr milliseconds Patience{3200};
+constexpr milliseconds CallerTimeout{3200};
 
 struct Outcome
 {
     int inTarget = 0;
     int late = 0;
-    int left = 0;    ///< callers that got nothing before their patience ended
-    int refused = 0; ///< twice, so that they come back no more
+    int abandoned = 0; ///< callers without an answer at their deadlines
+    int refused = 0;   ///< refused twice; they do not retry again
 };
 
-/// Callers that come back once when told, before engines that read one prompt after the other.
-Outcome replay(double load, double mostPart, std::uint64_t seed)
+/// Callers that retry once at the given time, and an engine that prefills one prompt after the
+/// other.
+Outcome replay(double load, double maxFraction, std::uint64_t seed)
 {
     constexpr double ReadMs = 100;
     constexpr int RunMs = 20'000;
     struct Arrival
     {
         double at = 0;
-        double first = 0; ///< of its first attempt
+        double first = 0; ///< time of the first attempt
         bool isSecond = false;
         bool operator>(const Arrival &other) const { return at > other.at; }
     };
@@ -51,9 +52,9 @@
     while (!arrivals.empty()) {
         const Arrival now = arrivals.top();
         arrivals.pop();
-        const Millis waits(std::max(0.0, freeAt - now.at));
-        const WaitTerms terms{Target, pointAt(now.at) + Patience, mostPart};
-        if (const auto until = refusedUntil(terms, waits, pointAt(now.at))) {
+        const Millis predictedWait(std::max(0.0, freeAt - now.at));
+        const WaitLimits limits{Target, pointAt(now.at) + CallerTimeout, maxFraction};
+        if (const auto until = refusedUntil(limits, predictedWait, pointAt(now.at))) {
             if (now.isSecond) {
                 ++outcome.refused;
             } else {
@@ -64,17 +65,17 @@
         freeAt = std::max(freeAt, now.at) + ReadMs;
         const double took = freeAt - now.first;
         outcome.inTarget += took <= Target.count() ? 1 : 0;
-        outcome.late += took > Target.count() && freeAt - now.at <= Patience.count() ? 1 : 0;
-        outcome.left += freeAt - now.at > Patience.count() ? 1 : 0;
+        outcome.late += took > Target.count() && freeAt - now.at <= CallerTimeout.count() ? 1 : 0;
+        outcome.abandoned += freeAt - now.at > CallerTimeout.count() ? 1 : 0;
     }
     return outcome;
 }
 
 constexpr double NoLimit = 1e9;
 
-// Callers come at one and a half times what the engine reads. Without a limit the queue grows until
-// everybody waits as long as anybody has patience for.
-TEST(WaitLimit, UnderOverloadThoseThatGoAreInTime)
+// The load is one and a half times the engine's capacity. Guards against a queue that grows until
+// every caller waits until its deadline.
+TEST(WaitLimit, UnderOverloadTheSentRequestsAreInTime)
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         const Outcome sentOn = replay(1.5, NoLimit, seed);
@@ -82,13 +83,13 @@
         EXPECT_GT(limited.inTarget, 3 * sentOn.inTarget) << seed;
         EXPECT_GT(limited.inTarget + limited.late, 0.9 * 200)
                 << "the engine is idle, seed " << seed;
-        EXPECT_EQ(limited.left, 0) << seed;
+        EXPECT_EQ(limited.abandoned, 0) << seed;
     }
 }
 
-// At seven tenths of what the engine reads, now and then a few meet. At most one caller in fifty
-// may be turned away for good.
-TEST(WaitLimit, AtUsualLoadHardlyAnybodyIsTurnedAwayTwice)
+// At seven tenths of the capacity a few requests occasionally coincide. At most one caller in fifty
+// may be refused twice.
+TEST(WaitLimit, AtUsualLoadFewCallersAreRefusedTwice)
 {
     int refused = 0;
     int served = 0;
@@ -100,20 +101,20 @@
     EXPECT_LT(50 * refused, served);
 }
 
-// A prompt of fifty thousand tokens takes longer to read than its target. With nothing ahead of it
-// it is served all the same.
-TEST(WaitLimit, WhatThePromptItselfTakesIsNoReasonToRefuse)
+// The prefill of a prompt of fifty thousand tokens exceeds its target. Without a backlog ahead it
+// is still served.
+TEST(WaitLimit, ThePrefillOfThePromptItselfIsNoReasonToRefuse)
 {
     const TimePoint now(std::chrono::hours(1));
-    EXPECT_FALSE(refusedUntil({Target, now + Patience, 0.5}, Millis(0), now));
+    EXPECT_FALSE(refusedUntil({Target, now + CallerTimeout, 0.5}, Millis(0), now));
     EXPECT_TRUE(refusedUntil({Target, now + milliseconds(50), 0.5}, Millis(100), now));
 }
 
-// A caller is told when to come back: not before the wait is within the limit.
-TEST(WaitLimit, TheTimeToComeBackFollowsFromTheWait)
+// The retry time given to a refused caller is not before the wait is within the limit.
+TEST(WaitLimit, TheRetryTimeFollowsFromTheWait)
 {
     const TimePoint now(std::chrono::hours(1));
-    const auto until = refusedUntil({Target, now + Patience, 0.5}, Millis(1000), now);
+    const auto until = refusedUntil({Target, now + CallerTimeout, 0.5}, Millis(1000), now);
     ASSERT_TRUE(until);
     EXPECT_EQ(*until, now + milliseconds(800));
 }
--- a/src/vanilladyke/traffic/exchange.cpp
+++ b/src/vanilladyke/traffic/exchange.cpp
@@ -205,7 +205,7 @@
     BackendQuery result;
     result.service = m_service;
     result.model = m_request.model;
-    result.leastHomeTokens = m_state.tracker.leastHomeTokens(m_service);
+    result.minPreferredTokens = m_state.tracker.minPreferredTokens(m_service);
     result.target = m_route->targetLatency;
     result.urgency = urgency();
     result.exclude = m_triedEngines;
@@ -220,8 +220,8 @@
         for (std::size_t i = 0; i + 1 < m_request.parts.size(); ++i) {
             shared += m_request.parts[i].tokens;
         }
-        if (m_state.settings.rates.homesByBeginning) {
-            result.homePart = preferredEnginePart(m_request.parts, shared);
+        if (m_state.settings.rates.prefersByCommonBeginning) {
+            result.preferencePart = preferredEnginePart(m_request.parts, shared);
         }
         result.sharedPart = m_request.parts[m_request.parts.size() - 2].id;
         if (m_customer != nullptr && m_customer->isIsolated) {
@@ -240,7 +240,7 @@
         rank = *m_customer->priority;
     }
     const bool isLong = m_request.promptTokens > LongPromptTokens;
-    return std::clamp(1 + 2 * rank + (isLong ? 1 : 0), 0, WaitingWork::Urgencies - 1);
+    return std::clamp(1 + 2 * rank + (isLong ? 1 : 0), 0, PrefillBacklog::Urgencies - 1);
 }
 
 std::optional<TimePoint> Exchange::retryTimeIfTooLate(const BackendChoice &choice,
@@ -249,8 +249,8 @@
     if (m_request.model.empty() || m_headWritten || m_sends > 0) {
         return std::nullopt;
     }
-    const double most = m_state.settings.rates.mostWaitTargets;
-    return refusedUntil({m_route->targetLatency, m_deadline, most}, choice.waits, now);
+    const double most = m_state.settings.rates.maxWaitFraction;
+    return refusedUntil({m_route->targetLatency, m_deadline, most}, choice.wait, now);
 }
 
 BackendRequestOptions Exchange::optionsFor(const BackendChoice &choice) const
@@ -318,7 +318,7 @@
 {
     const BackendConnectionPtr connection = co_await connectionTo(choice);
     if (connection == nullptr) {
-        m_state.tracker.close(choice.backend.id, MonotonicClock::now());
+        m_state.tracker.exclude(choice.backend.id, MonotonicClock::now());
         m_state.metrics.count("backend_unreached_total");
         co_return TryResult::Unreached;
     }
@@ -327,7 +327,7 @@
         co_return TryResult::Unreached;
     }
     const TimePoint now = MonotonicClock::now();
-    if (!m_state.tracker.hasRoom(choice.backend.id, now)) {
+    if (!m_state.tracker.hasCapacity(choice.backend.id, now)) {
         m_state.pool.putBack(connection, std::nullopt, now);
         m_state.metrics.count("limit_taken_meanwhile_total");
         co_return TryResult::Unreached;
@@ -353,7 +353,7 @@
     }
     if (choice.saveTo) {
         const std::string salt = cacheSalt(sentQuery.model, choice.weights, sentQuery.isolated);
-        m_state.keptCache.toldSaved(KeptCacheView::keyOf(salt, sentQuery.sharedPart), now);
+        m_state.keptCache.recordSaved(KeptCacheView::keyOf(salt, sentQuery.sharedPart), now);
     }
     const TryResult end = co_await sendAndReceive(choice, connection);
     m_connection.reset();
@@ -372,7 +372,7 @@
         m_exchange.apply(ExchangeEvent::ConnectionLost);
     }
     if (end == TryResult::Lost && m_stalled) {
-        m_state.tracker.close(choice.backend.id, MonotonicClock::now());
+        m_state.tracker.exclude(choice.backend.id, MonotonicClock::now());
     }
     co_await recordEngineEnd(choice, end, now);
     if (end != TryResult::Delivered) {
@@ -403,7 +403,7 @@
                                && !m_isWithdrawn;
     const EngineId &engine = choice.backend.id;
     const bool shouldCheck = isCutByServer && m_state.settings.quarantinesRequests
-                             && m_state.digester.isReady() && m_state.tracker.knows(engine)
+                             && m_state.digester.isReady() && m_state.tracker.contains(engine)
                              && !m_state.livenessProbe.hadEndedBefore(engine, sentAt);
     if (!shouldCheck) {
         co_return;
@@ -414,7 +414,7 @@
         co_return;
     }
     const WorkDigest name = *digest();
-    const EngineTermination engineEnd{BackendBook::hashOf(engine), now, hadJustBegun};
+    const EngineTermination engineEnd{BackendTracker::hashOf(engine), now, hadJustBegun};
     m_state.metrics.count("engine_ends_under_requests_total");
     if (m_state.quarantine.recordTermination(name, customerHash(), engineEnd)) {
         withdrawQuarantined(m_state, name);
@@ -588,12 +588,12 @@
     const TimePoint now = MonotonicClock::now();
     const EngineId &id = choice.backend.id;
     if (head.status != 421) { // 421 comes from another engine at the same address
-        m_state.quarantine.recordEngineAnswer(BackendBook::hashOf(id), now);
+        m_state.quarantine.recordEngineAnswer(BackendTracker::hashOf(id), now);
     }
     if (head.load) {
         m_state.tracker.reported(id, head.load->running, head.load->waiting, now);
     }
-    if (head.status != 421 && m_state.tracker.limitNamed(id, head.requestsPerSecond, now)) {
+    if (head.status != 421 && m_state.tracker.limitObserved(id, head.requestsPerSecond, now)) {
         LogEvent("engine_limit")
                 .field("backend", id.str())
                 .field("per_second", head.requestsPerSecond.value_or(0))
@@ -603,16 +603,16 @@
         m_state.notifyPeers();
     }
     if (head.weights && !m_request.model.empty()) {
-        m_state.tracker.sawWeights(id, m_request.model, *head.weights);
+        m_state.tracker.weightsObserved(id, m_request.model, *head.weights);
     }
     if (head.status == 421) {
         if (choice.weights != 0) {
-            m_state.tracker.doubtWeights(id, m_request.model, now);
+            m_state.tracker.weightsRefused(id, m_request.model, now);
         } else {
-            m_state.tracker.close(id, now);
+            m_state.tracker.exclude(id, now);
         }
     } else if (head.isNotExecuted) {
-        m_state.tracker.close(id, now);
+        m_state.tracker.exclude(id, now);
     }
 }
 
--- a/src/vanilladyke/traffic/exchange_test.cpp
+++ b/src/vanilladyke/traffic/exchange_test.cpp
@@ -146,7 +146,7 @@
         , m_acceptor(m_context, Tcp::endpoint(asio::ip::address_v4::loopback(), 0))
     {
         m_state.configAge = [this] { return m_configAge; };
-        m_state.retryBudget.setTerms({0.2, 1000, std::chrono::seconds(10), 1});
+        m_state.retryBudget.setLimits({0.2, 1000, std::chrono::seconds(10), 1});
         m_state.ticker.start();
         setRoute(RequestKind::Safe, false);
     }
@@ -541,7 +541,7 @@
 TEST_F(ExchangeTest, WaitsForASlowServerIfNoRetryIsAllowed)
 {
     setRoute(RequestKind::Stream, true, std::chrono::seconds(5), milliseconds(20));
-    m_state.retryBudget.setTerms({0, 0, std::chrono::seconds(10), 1});
+    m_state.retryBudget.setLimits({0, 0, std::chrono::seconds(10), 1});
     auto &slow = addBackend([](const ReceivedRequest &received) {
         return ScriptedAnswer{streamHead(received.fields.at("Id")) + eventChunk(1) + "0\r\n\r\n",
                               NextAction::KeepOpen, milliseconds(600)};
@@ -575,9 +575,9 @@
     m_state.tracker.setBackends(m_entries);
     const TimePoint now = MonotonicClock::now();
     constexpr Duration Left = milliseconds(2500); // still available, but withdrawn from soon
-    const TimePoint namedAt = now + Left - m_state.settings.rates.weightsTime;
-    m_state.tracker.weightsNamed({model, {2, namedAt, namedAt}}, AnnouncementSource::Read, now);
-    m_state.tracker.loading(EngineId("e3"), now + Left / 2);
+    const TimePoint namedAt = now + Left - m_state.settings.rates.oldWeightsPeriod;
+    m_state.tracker.weightsAnnounced({model, {2, namedAt, namedAt}}, AnnouncementSource::Read, now);
+    m_state.tracker.startedLoading(EngineId("e3"), now + Left / 2);
     connect();
     send("POST /a/x HTTP/1.1\r\nHost: h\r\nKey: k\r\nModel: m\r\nId: 1\r\nContent-Length: "
          "2\r\n\r\nhi");
@@ -614,7 +614,7 @@
 
 TEST_F(ExchangeTest, RetriesStayWithinTheBudget)
 {
-    m_state.retryBudget.setTerms({0, 0, std::chrono::seconds(10), 1});
+    m_state.retryBudget.setLimits({0, 0, std::chrono::seconds(10), 1});
     addBackend(refused);
     auto &second = addBackend(good);
     EXPECT_EQ(ask("1"), 503);
--- a/src/vanilladyke/traffic/traffic_state.cpp
+++ b/src/vanilladyke/traffic/traffic_state.cpp
@@ -4,11 +4,11 @@
 
 namespace vanilladyke {
 
-void TrafficState::recordWeightsDate(const NamedWeights &weights, AnnouncementSource grounds,
+void TrafficState::recordWeightsDate(const AnnouncedWeights &weights, AnnouncementSource grounds,
                                      std::string_view by)
 {
     const TimePoint now = MonotonicClock::now();
-    if (!tracker.weightsNamed(weights, grounds, now)) {
+    if (!tracker.weightsAnnounced(weights, grounds, now)) {
         return;
     }
     LogEvent("weights_dated")
