--- a/include/vanilladyke/node/weights_controller.hpp
+++ b/include/vanilladyke/node/weights_controller.hpp
@@ -9,48 +9,54 @@
 
 #include <set>
 
-/// Brings engines to the weights that the operator names, from one node at a time.
+/// Rolls out the weights announced by the operator to the engines. One node at a time, the holder
+/// of the order lease, sends orders.
 namespace vanilladyke {
 
-/// @brief What the controller tells the traffic side.
+/// @brief Callbacks by which the controller updates the traffic side.
 struct WeightsNews
 {
-    std::function<void(const EngineId &, Duration)> loading; ///< no requests there for so long
+    std::function<void(const EngineId &, Duration)>
+            loading; ///< engine and how long to send it no requests
     std::function<void(const EngineId &, const ModelId &, std::uint64_t)> loaded;
-    std::function<void(const WeightsAge &)> aged; ///< another node has known the weights longer
+    std::function<void(const WeightsAge &)> aged; ///< another node received the weights earlier
 };
 
-/// @brief Lease, pacing and orders of one node. Runs on the control thread; the clock comes in.
+/// @brief Order lease, pacing and orders of one node. Runs on the control thread; the time is
+/// passed in.
 class WeightsController
 {
 public:
-    /// An engine's report is some hundred milliseconds old: asked earlier it doesn't show an order.
+    /// An engine's report is a few hundred milliseconds old; a report requested sooner after an
+    /// order doesn't show that order yet.
     static constexpr Duration ReportLag = std::chrono::milliseconds(400);
     static constexpr Duration NextQuestion = std::chrono::milliseconds(150);
-    /// Of the time that orders take, after which an engine is asked whether it is done; asking
-    /// earlier costs calls and brings nothing.
+    /// Fraction of the expected order time after which the first report is requested. Earlier
+    /// requests cost calls and never show a finished order.
     static constexpr double FirstQuestionPart = 0.7;
-    /// An engine under order is left alone for so much longer than is expected: slow nodes hear
-    /// late that it takes longer, and that it is done opens it at once.
+    /// Requests are kept away from an engine with an order for this much longer than the order is
+    /// expected to take: slow nodes receive an extension late, and the end of the order makes the
+    /// engine available at once.
     static constexpr Duration AnnounceBeyond = std::chrono::milliseconds(1000);
-    /// An engine that stays silent for so many questions is down and holds up others no longer.
+    /// An engine that leaves this many report requests in a row unanswered is treated as down, so
+    /// that it doesn't block the orders of other engines.
     static constexpr int MostSilentAnswers = 2;
-    /// So many of those that wait for the lease hear of each of its records at once: the holder is
-    /// often the first of them, and the next one has to notice its end as soon as it may take over.
-    /// The others look for themselves after a while that grows with their rank: nine that all hear
-    /// of each renewal cost more calls than anything else that nodes do.
+    /// Number of standby nodes that long-poll the lease log and so receive each record at once. The
+    /// holder is often the first of them, and the next one has to detect its failure as soon as it
+    /// may take over. The others poll at an interval that grows with their rank: nine nodes that
+    /// all receive each renewal cost more store calls than everything else that nodes do.
     static constexpr std::size_t Watchers = 2;
     static constexpr Duration LookAgain = std::chrono::milliseconds(1000);
-    static constexpr std::size_t MostLookAgain = 5; ///< times LookAgain
-    /// Between the claims of two ranks, so that the second finds the record of the first.
+    static constexpr std::size_t MostLookAgain = 5; ///< longest poll interval, in LookAgain
+    /// Delay between the claims of two ranks, so that the second one reads the record of the first.
     static constexpr Duration RankPause = std::chrono::milliseconds(250);
-    /// An order that shows no effect for so long is given again.
+    /// An order without effect for this long is sent again.
     static constexpr Duration OrderTimeout = std::chrono::seconds(8);
-    /// How often a node that wants to order logs how far the rollout is and what it waits for.
+    /// Interval at which a node that needs the lease logs the progress of the rollout.
     static constexpr Duration LogEvery = std::chrono::seconds(1);
 
-    /// @brief A clock that counts suspension. Answers come between steps and after pauses, so that
-    /// the time of the last step would be too old to tell whether the lease still holds.
+    /// @brief A clock that keeps counting while the host is suspended. Answers arrive between steps
+    /// and after suspensions, when the time of the last step is too old to check the lease against.
     using Clock = std::function<TimePoint()>;
 
     WeightsController(std::string self, std::uint64_t incarnation, LeaseTerms terms,
@@ -58,16 +64,17 @@
                       WeightsNews news, StoreCalls &calls, Clock clock, RolloutTerms rolloutTerms,
                       Random &random);
 
+    /// @brief Sets the version that all engines with the model are to be brought to.
     void weightsNamed(const ModelId &model, std::uint64_t version, TimePoint now);
-    /// @brief Does what is due. Called every few dozen milliseconds.
+    /// @brief Performs all due work. Called every few dozen milliseconds.
     void step(TimePoint now);
     [[nodiscard]] bool isPending() const;
-    /// @brief This node's place among those that wait for the lease; none: it doesn't wait. A
-    /// holder keeps the lease anyhow.
+    /// @brief Sets this node's rank among the standby nodes for the lease; none: it is not one of
+    /// them. A holder keeps the lease in either case.
     void setStandbyRank(std::optional<std::size_t> rank) { m_rank = rank; }
-    /// @brief Other nodes that may take the lease over.
+    /// @brief Sets the number of other nodes that may take over the lease.
     void setOtherNodes(std::size_t others) { m_otherNodes = others; }
-    /// @brief Gives no orders any more and hands the lease on.
+    /// @brief Stops sending orders and releases the lease.
     void stop();
     [[nodiscard]] const OrderLease &lease() const { return m_lease; }
 
@@ -80,18 +87,18 @@
         TimePoint askAt;
         bool isAsking = false;
         bool wasOrdered = false;
-        int silentAnswers = 0;      ///< questions in a row that were not answered
-        TimePoint announcedUntil{}; ///< others were told that it loads until then
+        int silentAnswers = 0;      ///< report requests in a row without an answer
+        TimePoint announcedUntil{}; ///< other nodes were sent this end of the load
     };
 
     [[nodiscard]] std::vector<RolloutEngine> enginesOf(const ModelId &model) const;
     [[nodiscard]] std::uint64_t versionOf(const BackendEntry &entry, const ModelId &model) const;
-    /// Whether this node should hold the lease or wait for it.
+    /// Whether this node has to hold the lease or wait for it.
     [[nodiscard]] bool wantsToOrder(TimePoint now);
     void stepLease(bool wantsToOrder, TimePoint now);
     void readLease(TimePoint now);
     [[nodiscard]] Duration lookAgain() const;
-    /// Whether this node's turn to claim has come, and it has seen what those before it did.
+    /// Whether the delay of this node's rank has passed and it has read the claims of lower ranks.
     [[nodiscard]] bool mayClaim(TimePoint now);
     void sawLease(const LeaseLogState &state);
     [[nodiscard]] LeaseNews leaseNews(TimePoint now) const;
@@ -101,12 +108,12 @@
     void giveOrder(const BackendEntry &engine, Load &load, std::uint64_t accepted);
     void announce(const EngineId &id, Load &load, Duration expected);
     [[nodiscard]] WeightsRollout &rolloutOf(const ModelId &model);
-    /// When an engine whose order was accepted is asked next.
+    /// Time of the next report request to an engine whose order was accepted.
     [[nodiscard]] TimePoint nextQuestion(const Load &load) const;
     void ordered(const EngineId &id, OrderEnd end);
     void finish(const EngineId &id, bool succeeded);
     void logProgress(TimePoint now);
-    /// Why this node gives no orders; empty if it may.
+    /// Why this node may send no orders; empty if it may.
     [[nodiscard]] std::string_view waitsFor(TimePoint now) const;
 
     std::string m_self;
@@ -122,13 +129,13 @@
     std::map<ModelId, WeightsRollout> m_rollouts;
     std::map<EngineId, Load> m_loads;
     std::map<std::pair<EngineId, ModelId>, std::uint64_t> m_observed;
-    std::map<EngineId, TimePoint> m_orderedAt; ///< last order of this node to the engine
+    std::map<EngineId, TimePoint> m_orderedAt; ///< last order from this node to the engine
     Duration m_gap;
-    int m_openOrders = 0; ///< not answered yet
+    int m_openOrders = 0; ///< without an answer yet
     bool m_stopping = false;
-    std::optional<std::size_t> m_rank = 0; ///< among those that wait for the lease
-    std::optional<TimePoint> m_wantsSince; ///< to give orders
-    bool m_hasLooked = false;              ///< at the lease's log since then
+    std::optional<std::size_t> m_rank = 0; ///< among the standby nodes
+    std::optional<TimePoint> m_wantsSince; ///< since when the lease is needed
+    bool m_hasLooked = false;              ///< whether the log was read since m_wantsSince
     bool m_isReading = false;
     TimePoint m_readAt;
     LeaseReach m_reach;
--- a/src/vanilladyke/node/weights_controller.cpp
+++ b/src/vanilladyke/node/weights_controller.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-/// Nodes that wait for the lease are spread over this span, so that they don't claim in step.
+/// Upper bound of the random delay before a claim, so that standby nodes don't claim in lockstep.
 constexpr double MostPatienceSeconds = 0.4;
-/// How soon a failed read of the lease's log is tried again.
+/// Delay before a failed read of the lease log is retried.
 constexpr Duration ReadPause = std::chrono::milliseconds(200);
 
 } // namespace
@@ -122,7 +122,7 @@
         m_reach.forget();
     } else if (!m_wantsSince) {
         m_wantsSince = now;
-        m_readAt = now; // what was put off then was about other weights
+        m_readAt = now; // the delay of the last read concerned earlier weights
     }
     stepLease(wants, now);
     if (!wants) {
@@ -132,7 +132,7 @@
     if (m_lease.mayOrder(now)) {
         startLoads(now);
     } else if (!m_loads.empty() && m_lease.needsRead()) {
-        return; // a renewal is in doubt; loads that began go on by themselves
+        return; // the result of a renewal is unknown; engines finish loads without further orders
     }
     std::vector<EngineId> ids;
     for (const auto &[id, load] : m_loads) {
@@ -188,7 +188,7 @@
 void WeightsController::stepLease(bool wantsToOrder, TimePoint now)
 {
     if (!wantsToOrder && m_openOrders > 0) {
-        return; // the release says that no order is under way
+        return; // a release states that no order is in progress
     }
     if (wantsToOrder && !mayClaim(now)) {
         return;
@@ -220,7 +220,7 @@
         return false;
     }
     if (!m_hasLooked) {
-        readLease(now); // a claim on what was known before would be refused
+        readLease(now); // a claim at an outdated end of the log would be refused
     }
     return m_hasLooked;
 }
@@ -301,8 +301,8 @@
     }
     load.isAsking = true;
     if (!load.wasOrdered) {
-        // Other nodes hear of it while the question is under way, and have sent their last request
-        // there before the order comes.
+        // Announced along with the report request, so that other nodes have sent their last
+        // request to the engine before the order arrives.
         announce(id, load, Duration::zero());
     }
     m_orders.report(*engine, [this, id](const std::optional<EngineReport> &report) {
@@ -366,7 +366,7 @@
 {
     const TimePoint until = m_clock() + expected + AnnounceBeyond;
     if (until - load.announcedUntil < AnnounceBeyond / 2) {
-        return; // others know it for long enough, and each telling goes to all nodes
+        return; // the sent end is late enough, and each announcement goes to all nodes
     }
     load.announcedUntil = until;
     m_news.loading(id, expected + AnnounceBeyond);
@@ -381,8 +381,8 @@
     load.wasOrdered = true;
     load.isAsking = true;
     load.startedAt = m_clock();
-    // Weights that were named meanwhile: an order of older ones would have to be followed by
-    // another, and every answer until then would be on weights that were replaced.
+    // Orders the newest announced weights: an older version would need a second order, and every
+    // answer until then would come from superseded weights.
     WeightsRollout &rollout = rolloutOf(load.model);
     load.version = rollout.goal();
     rollout.ordered(engine.id, m_clock());
@@ -419,8 +419,8 @@
         load.askAt = m_clock() + NextQuestion;
         break;
     case OrderEnd::Unknown:
-        // It may be carried out seconds later or never. Waiting for it would hold a place that
-        // other engines need; the engine serves meanwhile and is asked again when its turn comes.
+        // The order may take effect seconds later or never. Waiting for it would occupy a slot
+        // that other engines need; the engine keeps serving and is ordered again later.
         m_news.loading(id, Duration::zero());
         finish(id, false);
         break;
--- a/src/vanilladyke/node/weights_controller_test.cpp
+++ b/src/vanilladyke/node/weights_controller_test.cpp
@@ -12,7 +12,7 @@
 
 const ModelId llmModel("m");
 
-/// A log that takes every append at its end at once.
+/// A log that accepts each append at its end at once.
 class OpenLog : public LeaseLog
 {
 public:
@@ -50,7 +50,7 @@
     std::optional<LeaseRecord> m_last;
 };
 
-/// Engines that end their runs, load, and then have the weights that they were ordered.
+/// Simulated engines that finish their running requests, then load the ordered weights.
 class TrialEngines : public EngineOrders
 {
 public:
@@ -90,7 +90,7 @@
 
     [[nodiscard]] std::uint64_t versionOf(const EngineId &id) { return stateOf(id).version; }
 
-    std::set<EngineId> silent; ///< lose every order
+    std::set<EngineId> silent; ///< engines that lose every order
     std::vector<std::uint64_t> ordered;
 
 private:
@@ -115,7 +115,7 @@
     std::map<EngineId, Engine> m_engines;
 };
 
-/// The way from one node to the engines. What is cut gets no answer, after a while.
+/// The network path from one node to the engines. Calls to cut engines time out.
 class TrialPath : public EngineOrders
 {
 public:
@@ -206,7 +206,7 @@
         }
     }
 
-    /// A node that reaches all engines waits behind the first one.
+    /// Adds a standby node that reaches all engines.
     void withSecondNode()
     {
         m_second = controller("second", m_engines);
@@ -215,7 +215,8 @@
         m_second->setOtherNodes(1);
     }
 
-    /// The holder hands on within the longest silence, and another one brings them all.
+    /// Expects the holder to release the lease within the time limit for unreachable engines, and
+    /// the second node to update all engines.
     void expectAllBroughtThoughTheHolderReachesOnly(int engines)
     {
         withSecondNode();
@@ -249,15 +250,15 @@
     BackendRoster m_roster;
     OpenLog m_log;
     TrialEngines m_engines{m_now};
-    TrialPath m_path{m_now, m_engines}; ///< of the first node
+    TrialPath m_path{m_now, m_engines}; ///< path of the first node
     std::unique_ptr<WeightsController> m_controller;
-    std::unique_ptr<WeightsController> m_second; ///< a node beside it, if there is one
+    std::unique_ptr<WeightsController> m_second; ///< standby node, in some tests
 };
 
-// New weights are named while two engines lose every order that is sent to them. Were their places
-// kept until an answer comes, the seven others would stay on old weights, and their answers would
-// be refused once the platform's time is over.
-TEST_F(WeightsControllerTest, OrdersWithoutAnAnswerHoldUpNoOtherEngine)
+// Guards against lost orders that block a rollout: two engines lose every order. If their slots
+// were held until an answer arrives, the seven others would stay on old weights, and their answers
+// would be refused after the platform's deadline.
+TEST_F(WeightsControllerTest, UnansweredOrdersDoNotBlockOtherEngines)
 {
     m_engines.silent = {idOf(0), idOf(1)};
     stepFor(milliseconds(200));
@@ -269,9 +270,9 @@
     EXPECT_EQ(onVersion(2), Engines);
 }
 
-// Newer weights are named while engines still load older ones. An order of the older ones given
-// after that would take the engine out twice.
-TEST_F(WeightsControllerTest, WeightsThatWereReplacedAreNotOrderedAnyMore)
+// Guards against an order for older weights after newer ones were announced: the engine would be
+// unavailable for two loads.
+TEST_F(WeightsControllerTest, SupersededWeightsAreNotOrdered)
 {
     m_controller->weightsNamed(llmModel, 2, m_now);
     stepFor(milliseconds(1500));
@@ -283,19 +284,20 @@
     EXPECT_EQ(std::count(m_engines.ordered.begin(), m_engines.ordered.end(), 2), 0);
 }
 
-// Nine engines whose streams take a second and a half to end have eight seconds. Requests that wait
-// on old weights are withdrawn 800 ms before; all engines have to be on new ones by then.
-TEST_F(WeightsControllerTest, ARolloutEndsBeforeRequestsAreWithdrawn)
+// Guards against a rollout that is too slow: nine engines whose streams take a second and a half to
+// end have eight seconds. Requests that wait on old weights are withdrawn 800 ms before; all
+// engines have to be on the new weights by then.
+TEST_F(WeightsControllerTest, RolloutEndsBeforeRequestsAreWithdrawn)
 {
     m_controller->weightsNamed(llmModel, 2, m_now);
     stepFor(milliseconds(7200));
     EXPECT_EQ(onVersion(2), Engines);
 }
 
-// The node that gives orders is the first of those that wait for the lease, and dies. While nobody
-// gives orders, engines stay on weights whose time runs out; the second one has to notice as soon
-// as the lease lets it, though it is not the first.
-TEST_F(WeightsControllerTest, TheSecondThatWaitsTakesOverAsSoonAsItMay)
+// Guards against a late takeover: the holder, first in rank, fails. Until another node sends orders
+// the engines stay on weights that expire, so the second in rank has to claim the lease as soon as
+// it may.
+TEST_F(WeightsControllerTest, SecondStandbyTakesOverAsSoonAsAllowed)
 {
     m_controller->setStandbyRank(1);
     m_controller->weightsNamed(llmModel, 2, m_now);
@@ -305,26 +307,26 @@
         stepFor(terms.renewAfter);
     }
     ASSERT_EQ(m_log.holder(), "first");
-    constexpr Duration Patience = milliseconds(500); // spreads those that would claim together
+    constexpr Duration Patience = milliseconds(500); // random delay of the claim
     stepFor(terms.validity + terms.gap + terms.margin - terms.renewAfter + Patience);
     EXPECT_EQ(m_log.holder(), "node");
 }
 
-// Guards against a holder that reaches the store and no engine: it renews the lease for as long as
-// that lasts, and all engines stay on old weights.
-TEST_F(WeightsControllerTest, AHolderThatReachesNoEngineHandsTheLeaseOn)
+// Guards against a holder that reaches the store but no engine: it would keep renewing the lease,
+// and all engines would stay on old weights.
+TEST_F(WeightsControllerTest, HolderReachingNoEngineReleasesTheLease)
 {
     expectAllBroughtThoughTheHolderReachesOnly(0);
 }
 
-// Guards against a holder that keeps the lease for the one engine that it reaches.
-TEST_F(WeightsControllerTest, AHolderThatReachesOneEngineHandsTheLeaseOn)
+// Guards against a holder that keeps the lease although it reaches only one engine.
+TEST_F(WeightsControllerTest, HolderReachingOneEngineReleasesTheLease)
 {
     expectAllBroughtThoughTheHolderReachesOnly(1);
 }
 
-// Guards against a lease that goes round while engines answer questions and lose orders.
-TEST_F(WeightsControllerTest, OrdersWithoutAnAnswerAreNoReasonToHandTheLeaseOn)
+// Guards against a lease that moves from node to node while engines answer reports but lose orders.
+TEST_F(WeightsControllerTest, UnansweredOrdersDoNotReleaseTheLease)
 {
     withSecondNode();
     for (int i = 0; i < Engines; ++i) {
@@ -335,8 +337,8 @@
     EXPECT_EQ(m_log.holder(), "node");
 }
 
-// Guards against a third of the engines on old weights for as long as the holder can't reach them.
-TEST_F(WeightsControllerTest, AHolderThatReachesOnlySomeEnginesHandsTheOthersOn)
+// Guards against a third of the engines that stay on old weights while the holder can't reach them.
+TEST_F(WeightsControllerTest, HolderReachingSomeEnginesReleasesTheLease)
 {
     withSecondNode();
     m_path.cut = {idOf(6), idOf(7), idOf(8)};
@@ -345,8 +347,8 @@
     EXPECT_EQ(onVersion(2), Engines);
 }
 
-// Guards against nodes that all leave the lease to each other after the engines were down for all.
-TEST_F(WeightsControllerTest, EnginesThatComeBackAfterALongOutageAreOrderedSoon)
+// Guards against a lease that no node claims after the engines were down for all nodes.
+TEST_F(WeightsControllerTest, RecoveredEnginesAreOrderedSoon)
 {
     withSecondNode();
     m_second = controller("second", m_path);
@@ -362,8 +364,8 @@
     EXPECT_EQ(onVersion(2), Engines);
 }
 
-// Guards against a lease that nobody holds on to while engines are down for everybody.
-TEST_F(WeightsControllerTest, ANodeWithoutOthersKeepsTryingEnginesThatAreDown)
+// Guards against a lease that is released although no other node could take it.
+TEST_F(WeightsControllerTest, SingleNodeKeepsTryingUnreachableEngines)
 {
     m_path.cut = {idOf(7), idOf(8)};
     m_controller->weightsNamed(llmModel, 2, m_now);
@@ -375,9 +377,9 @@
     EXPECT_EQ(onVersion(2), Engines);
 }
 
-// Nine nodes wait for the lease. Were each to read each renewal, they would make more calls to the
-// store than all other work of the fleet.
-TEST_F(WeightsControllerTest, ThoseThatWaitFurtherBackLookNowAndThen)
+// Guards against a flood of reads: if each of nine standby nodes read each renewal, they would make
+// more store calls than all other work of the fleet.
+TEST_F(WeightsControllerTest, LowerRankedStandbysPollRarely)
 {
     m_controller->setStandbyRank(6);
     m_controller->weightsNamed(llmModel, 2, m_now);
@@ -391,8 +393,9 @@
     EXPECT_LE(m_log.reads, Renewals / 4);
 }
 
-// Each of those that wait would claim as soon as new weights are named, and all but one in vain.
-TEST_F(WeightsControllerTest, ThoseFurtherBackLookBeforeTheyClaim)
+// Guards against standby nodes that all claim as soon as new weights are announced, all but one in
+// vain.
+TEST_F(WeightsControllerTest, LowerRankedStandbysReadBeforeClaiming)
 {
     m_controller->setStandbyRank(2);
     m_controller->weightsNamed(llmModel, 2, m_now);
