--- a/include/vanilladyke/node/record_store.hpp
+++ b/include/vanilladyke/node/record_store.hpp
@@ -9,39 +9,39 @@
 #include <string_view>
 #include <vector>
 
-/// The platform's store as the product needs it: topics of keyed records that can be listed, read
-/// on from an offset, and appended to. An adapter implements it.
+/// Interface to the platform's store: topics of keyed records that can be listed, read from an
+/// offset, and appended to. An adapter implements it.
 namespace vanilladyke {
 
-/// @brief One record of a topic of keys: the newest value of a key, or its removal.
+/// @brief One record of a keyed topic: the new value of a key, or its removal.
 struct KeyedRecord
 {
     std::string key;
     std::string value;        ///< empty: the key was removed
-    std::uint64_t offset = 0; ///< in the topic, if it was listed
+    std::uint64_t offset = 0; ///< in the topic; only set in listings
 };
 
-/// @brief Why a call to the store brought nothing.
+/// @brief Why a call to the store failed.
 enum class StoreError {
-    Unavailable, ///< no answer, busy, or an answer that can't be read
-    Expired,     ///< the records that were asked for are deleted
+    Unavailable, ///< no answer, busy, or a malformed answer
+    Expired,     ///< the requested records are deleted
 };
 
 /// @brief The newest record of each key of a topic.
 struct NewestRecords
 {
     std::vector<KeyedRecord> items;
-    std::uint64_t end = 0; ///< where to read on
+    std::uint64_t end = 0; ///< offset from which to continue reading
 };
 
-/// @brief Records that follow an offset.
+/// @brief Consecutive records from an offset on.
 struct RecordPage
 {
     std::uint64_t end = 0; ///< of the topic
     std::vector<std::string> records;
 };
 
-/// @brief What became of an append.
+/// @brief Result of an append.
 struct AppendResult
 {
     bool isTaken = false;
@@ -50,41 +50,44 @@
 
 /// @brief Topics that all nodes follow.
 enum class StateTopic {
-    Operator, ///< configuration and named weights
+    Operator, ///< configuration and announced weights
     Backends, ///< entries of backend servers
-    Nodes,    ///< where nodes hear from each other
-    FleetKey, ///< with which nodes sign what they tell each other
+    Nodes,    ///< endpoints for datagrams between nodes
+    FleetKey, ///< the key that signs datagrams between nodes
 };
 
-/// @brief Calls of the store; each topic has a connection of its own, and calls for the operator's
-/// records that don't wait have another one, beside the call that does.
+/// @brief Calls to the store. Each topic has its own connection; reads of the operator's records
+/// that don't wait use another one, so that the waiting call doesn't block them.
 class RecordStore
 {
 public:
     virtual ~RecordStore() = default;
+    /// @brief The newest record of each key.
     [[nodiscard]] virtual asio::awaitable<Outcome<NewestRecords, StoreError>>
     newest(StateTopic topic) = 0;
+    /// @brief Records from offset @p from on.
     /// @param wait how long the store may hold the call until there is a record; 0: not at all
     [[nodiscard]] virtual asio::awaitable<Outcome<RecordPage, StoreError>>
     read(StateTopic topic, std::uint64_t from, Duration wait) = 0;
-    /// @param at takes effect only if the topic ends there; none: anyhow
-    /// @return none if nobody knows whether it took effect
+    /// @param at appends only if the topic ends at this offset; none: unconditionally
+    /// @return none if it is unknown whether the append took effect
     [[nodiscard]] virtual asio::awaitable<std::optional<AppendResult>>
     append(StateTopic topic, KeyedRecord record, std::optional<std::uint64_t> at) = 0;
 };
 
-/// @brief Reads the records in the platform's spelling.
+/// @brief Decodes and encodes records in the platform's format.
 class StateTranslator
 {
 public:
     virtual ~StateTranslator() = default;
+    /// @return none if the record is malformed
     [[nodiscard]] virtual std::optional<KeyedRecord> split(std::string_view record) const = 0;
-    /// @brief The record as it lies in the topic.
+    /// @brief The record as stored in the topic.
     [[nodiscard]] virtual std::string join(const KeyedRecord &record) const = 0;
-    /// @param age how long ago it was written, at most; none: nobody knows
+    /// @param age upper bound of the record's age; none: unknown
     virtual void applyOperator(const KeyedRecord &record, std::optional<Duration> age,
                                StateListener &listener) const = 0;
-    /// @return whether anything but the server's sign of life changed
+    /// @return whether anything but the server's heartbeat changed
     virtual bool applyBackend(const KeyedRecord &record, StateListener &listener) const = 0;
 };
 
--- a/include/vanilladyke/node/state_follower.hpp
+++ b/include/vanilladyke/node/state_follower.hpp
@@ -10,40 +10,42 @@
 
 namespace vanilladyke {
 
-/// @brief What a node says of itself to others.
+/// @brief The identity that a node sends to other nodes.
 struct NodeIdentity
 {
     std::string name;
     std::uint64_t hash = 0;
-    std::uint64_t dataCentre = 0; ///< hash of its name
-    Endpoint peers;               ///< where it hears from others
+    std::uint64_t dataCentre = 0; ///< hash of the data centre's name
+    Endpoint peers;               ///< where it receives datagrams of other nodes
 };
 
-/// @brief What another node knows beyond two offsets.
+/// @brief Records that another node has read from two offsets on; none of a topic: it can't send
+/// them.
 struct SharedNews
 {
     std::optional<RecordRelay::News> configuration;
     std::optional<RecordRelay::News> backends;
 };
 
-/// @brief Asks another node; none if it does not answer in time.
+/// @brief Requests updates from another node; none if it doesn't answer in time.
 using AskPeer = std::function<asio::awaitable<std::optional<SharedNews>>(
         Endpoint peer, std::uint64_t operatorNext, std::uint64_t backendsNext)>;
 
-/// @brief Within which times what the store tells has to be known.
+/// @brief Time limits within which changes in the store have to take effect on this node.
 struct FollowTerms
 {
-    Duration drain = std::chrono::milliseconds(2000); ///< a leaving server
+    Duration drain = std::chrono::milliseconds(2000); ///< removal of a draining server
     Duration apply = std::chrono::milliseconds(2000); ///< a change of the configuration
-    bool asksOthers = true; ///< a node that reads the store for others is asked
+    bool asksOthers = true; ///< whether to ask a node that reads the store for others
 };
 
-/// @brief Follows the operator's records, the servers' entries and the list of nodes, by the store
-/// or by a node of the same data centre that reads it. Runs on the control thread.
+/// @brief Follows the operator's records, the servers' entries and the list of nodes, from the
+/// store or from a node of the same data centre that reads the store (the reader). Runs on the
+/// control thread.
 ///
-/// Whatever the way, what is known is never older than the bounds that hold for a node that reads
-/// for itself: an answer carries the age of its proof, counted from before the question was sent,
-/// and when the proof grows too old this node reads.
+/// The same limits on staleness hold for both sources: an answer carries the age of the reader's
+/// freshness proof, which counts from before the request was sent, and this node reads the store
+/// itself when the proof grows too old.
 class StateFollower
 {
 public:
@@ -53,34 +55,35 @@
 
     void start();
     void stop() { m_stopped = true; }
-    /// @brief How to ask other nodes; until then this node reads for itself.
+    /// @brief Sets the function that asks other nodes; until then this node reads the store itself.
     void setAskPeer(AskPeer ask) { m_ask = std::move(ask); }
+    /// @brief Another node was seen at @p endpoint, where it answers requests for updates.
     void heardNode(std::uint64_t node, std::uint64_t dataCentre, const Endpoint &endpoint);
-    /// @brief Another node knows the operator's records up to this offset. If a call of this node's
-    /// own that waits for them was passed over, it is not waited for.
+    /// @brief Another node has read the operator's records up to this offset. If the store doesn't
+    /// answer this node's waiting call soon, a second call reads them.
     void heardOperatorNext(std::uint64_t next);
-    /// @brief Up to which offset this node knows the operator's records. From any thread.
+    /// @brief The offset up to which this node has read the operator's records. Thread-safe.
     [[nodiscard]] std::uint64_t operatorNext() const { return m_operatorNext; }
-    /// @brief This node's place among those that stand by for what one node does for all, the
-    /// first has 0. @return none if it is not among them
+    /// @brief This node's rank, from 0, among the standby nodes for tasks that one node does for
+    /// all. @return none if it is not one of them
     [[nodiscard]] std::optional<std::size_t> standbyRank() const;
-    /// @brief Other nodes that were heard of lately.
+    /// @brief Number of other nodes that were seen recently.
     [[nodiscard]] std::size_t otherNodes() const { return m_turn.size(); }
-    /// @brief What this node can tell one that asks.
+    /// @brief The answer to a node that requests updates.
     [[nodiscard]] SharedNews newsSince(std::uint64_t operatorNext,
                                        std::uint64_t backendsNext) const;
-    /// @brief The key with which nodes sign; called once it is known.
+    /// @brief Called once with the key that signs datagrams between nodes.
     std::function<void(std::string key)> fleetKeyKnown;
 
 private:
-    /// What is known of one topic.
+    /// State of one followed topic.
     struct Topic
     {
         RecordRelay relay;
         std::uint64_t next = 0;
         bool isListed = false;
-        bool mustRead = false;  ///< the node that was asked could not tell
-        bool isReading = false; ///< a call of this node's own is under way
+        bool mustRead = false;  ///< the reader's answer lacked this topic
+        bool isReading = false; ///< this node's own call is pending
         TimePoint provedAt = TimePoint::min();
     };
 
@@ -97,25 +100,25 @@
     [[nodiscard]] asio::awaitable<void> failed(BackOff &backOff);
     [[nodiscard]] bool readsForOthers() const;
     [[nodiscard]] bool isShared(const Topic &topic, Duration limit) const;
-    /// Why this node reads the topic itself.
+    /// Why this node reads the topic from the store itself.
     [[nodiscard]] CallCause whyRead(const Topic &topic) const;
-    /// @param age how long ago the record was written, at most
-    /// @param by who told of it, for the log
+    /// @param age upper bound of the record's age
+    /// @param by source of the record, for the log
     void applyOperator(std::uint64_t offset, const std::string &record, Duration age,
                        std::string_view by);
     void applyBackend(std::uint64_t offset, std::string record);
     void proveOperator(TimePoint at);
     /// @param from offset of the page's first record
-    /// @param provedAt the page shows all that was written before
+    /// @param provedAt time up to which the page is known to be complete
     void takeOperatorPage(const RecordPage &page, std::uint64_t from, TimePoint provedAt);
     void knowOperatorUpTo(std::uint64_t next);
     [[nodiscard]] asio::awaitable<void> catchUp();
     void take(const SharedNews &news, TimePoint askedAt);
     static void mustRead(Topic *topic, const std::optional<RecordRelay::News> &news,
                          TimePoint askedAt);
-    /// How long a node that reads for others waits for the operator's next record.
+    /// How long a reader's call waits for the operator's next record.
     [[nodiscard]] Duration waitForOthers(TimePoint now) const;
-    /// Whether what another node tells is too old to stand for a call of this node's own.
+    /// Whether another node's freshness proof is too old to replace an own call to the store.
     [[nodiscard]] bool isBehind(const SharedNews &news) const;
     void knowFleetKey(std::string key) const;
     void takeOperator(const RecordRelay::News &news, TimePoint askedAt);
@@ -132,10 +135,10 @@
     AskPeer m_ask;
     Topic m_operator;
     Topic m_backends;
-    TimePoint m_listedAt = TimePoint(); ///< when the operator's records were
-    std::uint64_t m_heardNext = 0;      ///< up to which another node knows the operator's records
-    std::uint64_t m_refutedNext = 0;    ///< the store ends before what was heard up to here
-    bool m_isCatchingUp = false;        ///< with what another node knows
+    TimePoint m_listedAt = TimePoint(); ///< when the operator's records were last listed
+    std::uint64_t m_heardNext = 0;      ///< highest offset up to which another node has read
+    std::uint64_t m_refutedNext = 0;    ///< received offsets up to here exceed the store's end
+    bool m_isCatchingUp = false;        ///< with the offset received from another node
     std::atomic<std::uint64_t> m_operatorNext{0};
     bool m_stopped = false;
 };
--- a/src/vanilladyke/node/state_follower.cpp
+++ b/src/vanilladyke/node/state_follower.cpp
@@ -11,45 +11,51 @@
 
 namespace {
 
-/// Each answer proves the keys' age anew, so this bounds it; records come at once all the same.
+/// Each answer renews the freshness proof of the configuration, so this bounds the proof's age. New
+/// records end the wait at once.
 constexpr Duration OperatorWait = std::chrono::milliseconds(1700);
-/// A node that reads for others waits for a part of the time in which a change has to be in force.
-/// It may be cut off from the store without noticing, and others notice by the age of its proof:
-/// were it to wait longer, a sound reader's proof would look as old as that of one that is cut off.
+/// Wait of a node that reads for others, as a fraction of the time within which a change has to be
+/// in force. A reader that has lost the store may not detect it; other nodes detect it by the age
+/// of its proof. With a longer wait the proof of a healthy reader would be as old as that of a
+/// reader that is cut off.
 constexpr double WaitPartForOthers = 0.45;
-/// Of the same time: a proof from another node that is older is no better than a call of our own.
-/// What remains is for that call.
+/// Fraction of the same time after which another node's proof is too old and this node reads the
+/// store itself. The rest of the time is left for that call.
 constexpr double OldestSharedPart = 0.75;
-/// Of the same time: what was just listed is young enough. Meanwhile a node that starts finds
-/// others that read the store already.
+/// Fraction of the same time for which a listing counts as fresh. A starting node finds a reader
+/// meanwhile.
 constexpr double SettlePart = 0.4;
-/// Of a wait, drawn for each call: all nodes begin their next call when a record comes, and a
-/// moment in which the store takes no notice of a call must not be the same for all of them.
+/// Lower bound of the random fraction of the wait that each call uses. All nodes begin their next
+/// call when a record arrives; with equal waits, a moment at which the store misses waiting calls
+/// would hit all nodes at once.
 constexpr double ShortestWaitPart = 0.8;
-/// Another node has a record that a call of this node's own waits for. The answer is most likely on
-/// its way; if it isn't after this, the store has passed the call over.
+/// Time for the answer of this node's waiting call to arrive once another node has the record.
+/// After that the store is assumed to have missed the call.
 constexpr Duration PassedOverAfter = std::chrono::milliseconds(150);
-/// Entries are written at each heartbeat, so that waiting for one would be a call for each. Of the
-/// time in which a leaving server has to be known; the rest is for one call that is not answered.
+/// Poll interval for entries, as a fraction of the time within which a draining server has to be
+/// removed; the rest is left for one call without an answer. Entries are written at each heartbeat,
+/// so that a waiting call would return for each of them.
 constexpr double BackendsPart = 0.42;
-/// Of the same time, for a node that reads for others: they ask it after that.
+/// The same for a node that reads for others, which ask it only afterwards.
 constexpr double BackendsPartForOthers = 0.25;
 constexpr Duration AskEvery = std::chrono::milliseconds(400);
-/// More than are lost together before others have noticed.
+/// More than the number of nodes that fail together before the others detect it.
 constexpr std::size_t NodesStandingBy = 9;
-/// Nodes that start together register within this time. Whoever lists later tells those that it
-/// finds in the list, so that one listing is enough for two nodes to know of each other.
+/// Nodes that start together register within this time. A node sends updates to all nodes in its
+/// list, so that one listing by either of two nodes connects both.
 constexpr Duration NodesPause = std::chrono::milliseconds(700);
-/// For nodes that were cut off from all others while they came; the list costs a call for each.
+/// For nodes that were cut off from all others when those started. Each listing costs a call per
+/// node.
 constexpr Duration NodesAgainPause = std::chrono::minutes(5);
 constexpr Duration KeyPause = std::chrono::milliseconds(900);
-/// Hundreds of nodes start at the same time. Spread over this span, nearly all of them find the
-/// key that the first one wrote; otherwise each would list, write and list again.
+/// Hundreds of nodes start at the same time. With starts spread over this span nearly all of them
+/// find the key that the first one wrote; otherwise each would list, append and list again.
 constexpr Duration KeySpread = std::chrono::milliseconds(400);
-/// After failed calls: a lost answer must not cost the time in which a change has to be known, and
-/// a store that is down must not be flooded.
+/// Back-off after failed calls: a lost answer must not use up the time within which a change has to
+/// take effect, and a store that is down must not be flooded.
 constexpr BackOffSpans FailureSpans{std::chrono::milliseconds(60), std::chrono::milliseconds(500)};
-/// What goes into one datagram, packed; a larger configuration each node reads for itself.
+/// Compressed size that fits into one datagram. Each node reads a larger configuration from the
+/// store itself.
 constexpr std::size_t MostSharedBytes = 16000;
 constexpr const char *FleetKeyName = "key";
 
@@ -65,9 +71,9 @@
     return endpoints;
 }
 
-/// What the operator wrote up to this moment is known by the answer. The store answers a read as
-/// soon as there is a record: an empty answer after the whole wait says that there was none until
-/// its end.
+/// The time up to which the page contains all of the operator's writes. The store answers a read as
+/// soon as there is a record, so an empty answer after the whole wait proves that none was written
+/// until its end.
 TimePoint provedBy(const RecordPage &page, TimePoint sentAt, Duration wait, TimePoint now)
 {
     const bool waitedItOut = page.records.empty() && now - sentAt >= wait;
@@ -182,7 +188,8 @@
             continue;
         }
         if (isBehind(*news)) {
-            // It answers, but doesn't reach the store: all who go on asking it would read instead.
+            // The reader answers but doesn't reach the store. All nodes that kept asking it would
+            // have to read the store themselves.
             m_turn.doubt(*whom, BootClock::now());
             LogEvent("reader_behind").field("reader", reader.str());
         } else {
@@ -204,7 +211,7 @@
 void StateFollower::mustRead(Topic *topic, const std::optional<RecordRelay::News> &news,
                              TimePoint askedAt)
 {
-    // A call of this node's own that is under way, or came after the question, tells already.
+    // A pending own call, or one that was answered after the request, covers the topic already.
     if (!news && !topic->isReading && topic->provedAt < askedAt) {
         topic->mustRead = true;
     }
@@ -232,7 +239,7 @@
 
 void StateFollower::takeOperator(const RecordRelay::News &news, TimePoint askedAt)
 {
-    // All that was written before the last proof is known: what comes now is younger.
+    // All records written before the last proof were read, so these are younger.
     const Duration age = BootClock::now() - m_operator.provedAt;
     for (const RecordRelay::Change &change : news.changes) {
         if (change.offset < m_operator.next) {
@@ -240,7 +247,8 @@
         }
         auto record = unpackRecord(change.record);
         if (!record) {
-            // Skipped, a change would never be in force here while the proof says that all is.
+            // Skipping the record would leave the change out for good, while the proof states that
+            // all changes are applied.
             LogEvent("shared_record_unreadable", Severity::Warning).field("offset", change.offset);
             m_operator.mustRead = true;
             return;
@@ -254,7 +262,7 @@
 
 void StateFollower::proveOperator(TimePoint at)
 {
-    // While another node knows of more, the store has left a record out of an answer.
+    // While another node has read further, the store has left a record out of an answer.
     if (at > m_operator.provedAt && m_operator.next >= m_heardNext) {
         m_operator.provedAt = at;
         m_operator.relay.proved(at);
@@ -290,7 +298,7 @@
     if (!newest) {
         co_return false;
     }
-    // A node that followed the records before knows that what it finds now is younger.
+    // If the records were followed before, everything new was written after the last proof.
     const bool hasProof = m_operator.provedAt != TimePoint::min();
     const auto age =
             hasProof ? std::optional(BootClock::now() - m_operator.provedAt) : std::nullopt;
@@ -307,8 +315,8 @@
 
 Duration StateFollower::waitForOthers(TimePoint now) const
 {
-    // After a change the last proof is as old as the call that brought it. A whole wait on top of
-    // that would make it so old that all who ask read for themselves.
+    // After a change the last proof is as old as the call that returned the change. A whole wait on
+    // top would make it so old that all asking nodes read the store themselves.
     const Duration longest = std::min(partOf(m_terms.apply, WaitPartForOthers), OperatorWait);
     const Duration age = std::max(Duration::zero(), now - m_operator.provedAt);
     return std::max(longest - age, longest / 4);
@@ -339,11 +347,11 @@
 
 void StateFollower::takeOperatorPage(const RecordPage &page, std::uint64_t from, TimePoint provedAt)
 {
-    // All that was written before the last proof is known: what comes now is younger. That is all
-    // that is sure, however promptly the store answers as a rule.
+    // All records written before the last proof were read, so these are younger. No tighter bound
+    // holds, even though the store usually answers promptly.
     const Duration age = BootClock::now() - m_operator.provedAt;
     for (std::size_t i = 0; i < page.records.size(); ++i) {
-        if (from + i >= m_operator.next) { // another node may have told of it meanwhile
+        if (from + i >= m_operator.next) { // a peer may have sent it meanwhile
             applyOperator(from + i, page.records[i], age, "store");
         }
     }
@@ -529,7 +537,7 @@
 
 asio::awaitable<void> StateFollower::findFleetKey()
 {
-    // The first node writes it; that a record is there already refuses all later ones.
+    // The first node writes the key; the append of any later node is refused.
     co_await pause(spanOfSeconds(secondsOf(KeySpread) * uniform(m_random)));
     while (!m_stopped) {
         m_calls.count(StoreCall::List, StoreTopic::FleetKey, CallCause::Start);
--- a/src/vanilladyke/node/state_follower_test.cpp
+++ b/src/vanilladyke/node/state_follower_test.cpp
@@ -12,7 +12,7 @@
 
 using std::chrono::milliseconds;
 
-/// A store in memory. Its records are "key=value"; "beat=…" is a server's sign of life.
+/// An in-memory store. Its records are "key=value"; "beat=…" is a server's heartbeat.
 class MemoryStore : public RecordStore
 {
 public:
@@ -92,14 +92,14 @@
     std::map<StateTopic, std::vector<std::string>> topics;
     int calls = 0;
     bool isDown = false;
-    bool isSilent = false;        ///< no read is answered any more
-    bool passesOver = false;      ///< a call that waits is not told of a record before its end
-    bool leavesOut = false;       ///< nor then
-    bool isExpired = false;       ///< the next read of the operator's records comes too late
-    bool failsPlainReads = false; ///< calls for the operator's records that don't wait
-    int waiting = 0;              ///< calls that wait now
-    int waitsBegun = 0;           ///< calls that were to wait
-    std::set<Duration> waits;     ///< how long calls were to wait
+    bool isSilent = false;        ///< reads stay without an answer
+    bool passesOver = false;      ///< waiting calls return new records only at their end
+    bool leavesOut = false;       ///< waiting calls never return new records
+    bool isExpired = false;       ///< the next read of the operator's records finds them deleted
+    bool failsPlainReads = false; ///< reads of the operator's records that don't wait fail
+    int waiting = 0;              ///< calls that are waiting now
+    int waitsBegun = 0;           ///< calls with a wait so far
+    std::set<Duration> waits;     ///< distinct waits of calls
 
 private:
     asio::io_context &m_context;
@@ -155,13 +155,13 @@
 
     int named = 0;
     TimePoint writtenAt =
-            TimePoint::min(); ///< of the last weights that were named, at the earliest
+            TimePoint::min(); ///< earliest time of the last weights that were announced
     int failures = 0;
     std::vector<std::string> backends;
     TimePoint provedAt = TimePoint::min();
 };
 
-/// A node that reads, and one beside it that asks it, on one thread.
+/// A node that reads the store and a second one that asks it, on one thread.
 class StateFollowerTest : public ::testing::Test
 {
 protected:
@@ -202,7 +202,7 @@
                 });
     }
 
-    /// So many nodes are heard of that this one is not the first; all answer as the reader does.
+    /// Reports enough nodes that the asking one doesn't rank first; all answer as the reader does.
     void hear()
     {
         for (std::uint64_t node = 10; node < 50; ++node) {
@@ -210,7 +210,7 @@
         }
     }
 
-    /// Runs until the condition holds. @return whether it came to hold
+    /// Runs until the condition holds. @return false on time-out
     bool reach(const std::function<bool()> &condition)
     {
         constexpr Duration Longest = std::chrono::seconds(30);
@@ -223,7 +223,7 @@
         return condition();
     }
 
-    /// Runs until the node that asks learned something from another node.
+    /// Runs until the asking node has received an answer.
     bool reachSharing()
     {
         return reach([this] { return m_answered > 0; });
@@ -238,7 +238,7 @@
     static constexpr std::uint64_t Centre = 9;
     asio::io_context m_context;
     MemoryStore m_store;
-    MemoryStore m_ownStore{m_context}; ///< the same store, reached by the node that asks
+    MemoryStore m_ownStore{m_context}; ///< the asking node's access to the same store
     PlainTranslator m_translator;
     Listener m_readerListener;
     Listener m_askingListener;
@@ -252,13 +252,13 @@
     int m_answered = 0;
 };
 
-TEST_F(StateFollowerTest, ANodeThatAsksLearnsAllThatTheReaderKnows)
+TEST_F(StateFollowerTest, AskingNodeReceivesAllRecordsOfTheReader)
 {
     m_store.topics[StateTopic::Backends] = {"e=1", "beat=1"};
     start();
     ASSERT_TRUE(reachSharing());
     const TimePoint provedAt = m_askingListener.provedAt;
-    // Only the reader's store has what comes now.
+    // The following records are only in the reader's store.
     m_store.topics[StateTopic::Operator].push_back("version=2");
     for (const char *record : {"beat=2", "e=2", "beat=3", "e=3"}) {
         m_store.topics[StateTopic::Backends].push_back(record);
@@ -268,9 +268,9 @@
     EXPECT_TRUE(reach([&] { return m_askingListener.provedAt > provedAt; }));
 }
 
-// News of weights comes by way of another node and half a second late. Were it dated by its
-// arrival, requests would begin on old weights after their time is over.
-TEST_F(StateFollowerTest, WhatAnotherNodeTellsIsDatedByTheLastProof)
+// Guards against records from another node that are dated by their arrival, up to half a second
+// late: requests would still start on old weights after their deadline.
+TEST_F(StateFollowerTest, DatesRecordsFromPeersByTheLastProof)
 {
     start();
     ASSERT_TRUE(reachSharing());
@@ -284,9 +284,9 @@
     EXPECT_GT(m_askingListener.writtenAt, TimePoint::min());
 }
 
-// A configuration is larger than a datagram. The node that was told so waited until its proof was
-// old, and refused a route that had been added two seconds before.
-TEST_F(StateFollowerTest, WhatTheReaderCantTellIsReadAtOnce)
+// Guards against a configuration that is too large for a datagram: the asking node waited until its
+// freshness proof was old, and refused a route that had been added two seconds before.
+TEST_F(StateFollowerTest, ReadsAtOnceWhatTheReaderCannotSend)
 {
     m_tellsConfiguration = false;
     start();
@@ -296,11 +296,11 @@
     const std::size_t before = m_asked.size();
     m_ownStore.topics[StateTopic::Operator].push_back("version=2");
     EXPECT_TRUE(reach([this] { return m_askingListener.named > 0; }));
-    EXPECT_LT(m_asked.size() - before, 4U) << "questions until it was read";
+    EXPECT_LT(m_asked.size() - before, 4U) << "requests until it was read";
 }
 
-// The node that reads for others is frozen.
-TEST_F(StateFollowerTest, ANodeWhoseReaderIsSilentReadsItself)
+// Guards against stale state when the reader is frozen and doesn't answer.
+TEST_F(StateFollowerTest, ReadsTheStoreWhenTheReaderIsUnresponsive)
 {
     start();
     ASSERT_TRUE(reachSharing());
@@ -314,8 +314,9 @@
             << "others are asked";
 }
 
-// The node that reads for others is cut off from the store and still answers: its proof grows old.
-TEST_F(StateFollowerTest, AnOldProofIsNoReasonNotToRead)
+// Guards against stale state when the reader has lost the store but still answers, with an ageing
+// freshness proof.
+TEST_F(StateFollowerTest, ReadsTheStoreWhenTheReadersProofIsOld)
 {
     start();
     ASSERT_TRUE(reachSharing());
@@ -328,9 +329,9 @@
     EXPECT_EQ(m_askingListener.failures, 0);
 }
 
-// The node that reads for forty others is cut off from the store and goes on answering. Were they
-// to go on asking it, each would read the store itself for as long as the cut lasts.
-TEST_F(StateFollowerTest, AReaderThatIsBehindIsLeftForAnother)
+// Guards against nodes that keep asking a reader that has lost the store: each of forty nodes would
+// read the store itself until the reader reaches it again.
+TEST_F(StateFollowerTest, SwitchesFromAStaleReaderToAnother)
 {
     start();
     ASSERT_TRUE(reachSharing());
@@ -340,10 +341,10 @@
     EXPECT_TRUE(reach([&] { return m_asked.back() != first; }));
 }
 
-// A node that asked others begins to read for itself. What it finds may have been written at any
-// time since the last proof that it got; taken for young, an engine on replaced weights would get
-// requests for that much longer.
-TEST_F(StateFollowerTest, WhatIsFoundAfterAPauseIsDatedByTheLastProof)
+// Guards against records dated too late by a node that switches from asking to reading. They may
+// have been written at any time since its last freshness proof; an engine on superseded weights
+// would get requests for that much longer.
+TEST_F(StateFollowerTest, DatesOwnReadsAfterAskingByTheLastProof)
 {
     start();
     ASSERT_TRUE(reachSharing());
@@ -355,13 +356,14 @@
     EXPECT_LE(m_askingListener.writtenAt, proved + Applying);
 }
 
-// The store took no notice of a call that began while the record was written, and answered at its
-// end. Taken for young, the record lets requests begin on old weights after their time is over.
-TEST_F(StateFollowerTest, WhatAnAnswerBringsLateIsDatedByTheLastProof)
+// Guards against a record dated too late when the store misses a waiting call, which began while
+// the record was written, and returns the record only at the end of the wait: requests would start
+// on old weights after their deadline.
+TEST_F(StateFollowerTest, DatesLateAnswersByTheLastProof)
 {
     m_store.passesOver = true;
     m_reader.start();
-    // The call follows another one at once, as in a node that has run for a while.
+    // The call directly follows another one, as in a node that has run for a while.
     ASSERT_TRUE(reach([this] { return m_store.waitsBegun > 1 && m_store.waiting > 0; }));
     const TimePoint before = BootClock::now();
     m_store.topics[StateTopic::Operator].push_back("version=2");
@@ -370,9 +372,9 @@
     EXPECT_GT(m_readerListener.writtenAt, TimePoint::min());
 }
 
-// The history was dropped while weights were named. The node has followed the records until then;
-// taken for one that knows nothing of their age, it would only guess.
-TEST_F(StateFollowerTest, WhatAListingBringsToANodeThatFollowedIsDatedByTheLastProof)
+// Guards against an estimated age of announced weights after the store has deleted the history: a
+// node that followed the records until then has a bound on the age.
+TEST_F(StateFollowerTest, DatesRelistedRecordsByTheLastProof)
 {
     m_reader.start();
     ASSERT_TRUE(reach([this] { return m_store.waiting > 0; }));
@@ -384,9 +386,9 @@
     EXPECT_GT(m_readerListener.writtenAt, TimePoint::min());
 }
 
-// A call for the operator's records was passed over. A node that waits for its end serves a route
-// that was taken away for nearly two seconds more, though others know better.
-TEST_F(StateFollowerTest, ANodeWhoseCallWasPassedOverReadsWhatOthersKnow)
+// Guards against a route that is served for nearly two seconds after its removal because the store
+// misses the waiting call, although other nodes have read the record.
+TEST_F(StateFollowerTest, ReadsAgainWhenTheStoreMissesAWaitingCall)
 {
     m_store.passesOver = true;
     m_reader.start();
@@ -394,13 +396,13 @@
     m_store.topics[StateTopic::Operator].push_back("version=2");
     m_reader.heardOperatorNext(1);
     ASSERT_TRUE(reach([this] { return m_readerListener.named > 0; }));
-    EXPECT_GT(m_store.waiting, 0) << "the call that was passed over still waits";
+    EXPECT_GT(m_store.waiting, 0) << "the missed call still waits";
     EXPECT_EQ(m_reader.operatorNext(), 1U);
 }
 
-// The store leaves a record out of its answer. A node that takes the answer for a proof goes on
-// letting requests pass with a key that was taken away.
-TEST_F(StateFollowerTest, NothingIsProvedWhileAnotherNodeKnowsMore)
+// Guards against an answer that lacks a record and is accepted as a freshness proof: the node would
+// keep accepting a revoked key.
+TEST_F(StateFollowerTest, AcceptsNoProofWhileAPeerHasReadFurther)
 {
     m_store.leavesOut = true;
     m_store.failsPlainReads = true;
@@ -416,9 +418,9 @@
     EXPECT_TRUE(reach([&] { return m_readerListener.provedAt > heardAt; }));
 }
 
-// Another node tells an offset that the store never had. Were it believed, no proof would count any
-// more and every request with a key would be refused.
-TEST_F(StateFollowerTest, AnOffsetThatTheStoreRefutesIsForgotten)
+// Guards against an offset from another node that the store never had: if it were accepted, no
+// freshness proof would count and every request with a key would be refused.
+TEST_F(StateFollowerTest, DropsAPeersOffsetBeyondTheStoresEnd)
 {
     m_reader.start();
     ASSERT_TRUE(reach([this] { return m_store.waiting > 0; }));
@@ -427,16 +429,16 @@
     EXPECT_TRUE(reach([&] { return m_readerListener.provedAt > heardAt; }));
 }
 
-// All nodes begin their next call when a record comes. With waits of one length they go on in step,
-// and a moment in which the store takes no notice of a call is the same for all.
-TEST_F(StateFollowerTest, WaitsDifferInLength)
+// Guards against calls in lockstep: all nodes begin their next call when a record arrives. With
+// equal waits the store would miss the calls of all nodes at the same moment.
+TEST_F(StateFollowerTest, VariesTheLengthOfWaits)
 {
     m_reader.start();
     EXPECT_TRUE(reach([this] { return m_store.waits.size() > 2; }));
 }
 
-// Nodes that start together would otherwise each list, write and list again.
-TEST_F(StateFollowerTest, ANodeThatKnowsOthersListsThemOnce)
+// Guards against nodes that start together and each list, append and list again.
+TEST_F(StateFollowerTest, ListsNodesOnlyOnce)
 {
     start();
     ASSERT_TRUE(reachSharing());
@@ -450,9 +452,9 @@
     EXPECT_LE(lists("fleet_key", "start"), 3U);
 }
 
-// The node that reads for others is cut off from the store, and hears nothing while its call waits
-// there. Another node would serve a route that was taken away for longer than is allowed.
-TEST_F(StateFollowerTest, AReaderThatHearsNothingMoreKeepsNobodyFromAChange)
+// Guards against a reader that loses the store during a waiting call and doesn't detect it: the
+// asking node would serve a removed route beyond the time limit.
+TEST_F(StateFollowerTest, ReadsTheStoreWhenTheReadersCallHangs)
 {
     m_store.topics[StateTopic::Backends] = {"e=1"};
     start();
@@ -463,7 +465,7 @@
     const std::size_t before = m_asked.size();
     m_ownStore.topics[StateTopic::Operator].push_back("version=2");
     ASSERT_TRUE(reach([this] { return m_askingListener.named > 0; }));
-    EXPECT_LT(m_asked.size() - before, 5U) << "questions, one each 300 to 500 ms";
+    EXPECT_LT(m_asked.size() - before, 5U) << "requests, one every 300 to 500 ms";
 }
 
 } // namespace
