--- a/include/vanilladyke/node/control_plane.hpp
+++ b/include/vanilladyke/node/control_plane.hpp
@@ -5,23 +5,24 @@
 
 #include <atomic>
 
-/// The control side of a node: takes in what the store tells, and hands it to the traffic thread.
+/// The control side of a node: applies changes from the store and posts them to the traffic thread.
 namespace vanilladyke {
 
-/// @brief Figures of the deployment that control follows.
+/// @brief Deployment settings of the control plane.
 struct ControlSettings
 {
-    std::string self; ///< of the machine; names the holder of the lease
+    std::string self; ///< host name; identifies the holder of the lease
     LeaseTerms lease;
     RolloutTerms rollout;
-    SecondSendTerms secondSends; ///< the number of nodes is filled in as it becomes known
+    SecondSendTerms secondSends; ///< the number of nodes is filled in once listed
 };
 
-/// @brief When the configuration was last proved to be the newest; shared by both threads.
+/// @brief Time of the configuration's last freshness proof; shared by both threads.
 class ProofOfAge
 {
 public:
     void prove(TimePoint at);
+    /// @return the age of the last proof; Duration::max() without one
     [[nodiscard]] Duration age() const;
 
 private:
@@ -29,7 +30,7 @@
     std::atomic<Duration::rep> m_provedAt{Never}; ///< on the boot clock
 };
 
-/// @brief Runs on the control thread.
+/// @brief Applies changes from the store and drives weight rollouts. Runs on the control thread.
 class ControlPlane : public StateListener
 {
 public:
@@ -38,15 +39,15 @@
                  std::uint64_t seed);
 
     void start();
-    /// @brief This node's place among those that wait for the lease of orders; none: it leaves it
-    /// to them.
+    /// @brief This node's rank among the standby nodes for the order lease; none: it doesn't wait
+    /// for the lease.
     std::function<std::optional<std::size_t>()> standbyRank = [] { return std::size_t{0}; };
-    /// @brief Other nodes that were heard of lately.
+    /// @brief Number of other nodes that were seen recently.
     std::function<std::size_t()> otherNodes = [] { return std::size_t{0}; };
-    /// @brief The node will stop: another one is to give the orders from now on.
+    /// @brief Stops sending orders and releases the lease, before the node stops.
     void handOver();
     [[nodiscard]] const ProofOfAge &proof() const { return m_proof; }
-    /// @brief Counts calls of everything that runs on the control thread.
+    /// @brief Counter of all store calls of the control thread.
     [[nodiscard]] StoreCalls &storeCalls() { return m_calls; }
 
     void configurationRead(RoutingConfig config) override;
@@ -64,7 +65,7 @@
 private:
     void step();
     void schedule();
-    /// Soon, so that a page of a thousand entries is published once.
+    /// Posted, so that a page of a thousand entries is published once.
     void publishBackends();
     void publishNow();
     [[nodiscard]] WeightsNews newsForTraffic();
@@ -87,7 +88,7 @@
     std::uint64_t m_version = 0;
     bool m_hasConfig = false;
     bool m_storeIsDown = false;
-    bool m_isPublishing = false; ///< the servers are published when the present page is read
+    bool m_isPublishing = false; ///< a publication of the servers is posted
 };
 
 } // namespace vanilladyke
--- a/src/vanilladyke/node/control_plane.cpp
+++ b/src/vanilladyke/node/control_plane.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Orders are followed at this pace while there are any; without any, entries expire by it.
+/// Step interval while a rollout is pending. Without one, IdleStep is enough to expire entries.
 constexpr Duration BusyStep = std::chrono::milliseconds(50);
 constexpr Duration IdleStep = std::chrono::milliseconds(250);
 
@@ -125,7 +125,7 @@
                                 std::optional<Duration> age)
 {
     m_weights.weightsNamed(model, version, BootClock::now());
-    // Taken here: the traffic thread may come to it late.
+    // Read here, since the traffic thread may run the posted change late.
     const TimePoint now = MonotonicClock::now();
     if (age) {
         const NamedWeights named{model, {version, now - *age, now}};
@@ -134,8 +134,9 @@
         });
         return;
     }
-    // A node that has just started can't tell how long ago; half of the time allowed is a guess
-    // that neither closes all engines on older weights at once nor keeps them open too long.
+    // A node that has just started has no bound on the age. It assumes half of the time for which
+    // older weights may be used: that neither excludes all engines on older weights at once nor
+    // keeps them available too long.
     const TimePoint guess = now - m_traffic.settings.rates.weightsTime / 2;
     const NamedWeights named{model, {version, guess, guess}};
     tell([named](TrafficState &traffic) {
