--- a/include/vanilladyke/node/load_sharing.hpp
+++ b/include/vanilladyke/node/load_sharing.hpp
@@ -4,64 +4,68 @@
 #include "vanilladyke/policy/news_routes.hpp"
 #include "vanilladyke/traffic/traffic_state.hpp"
 
-/// Tells other nodes what this one has waiting at each backend server, and hears it from them.
+/// Exchanges load updates with other nodes: each node sends its backlog at each backend server.
 ///
-/// Load pattern: each of six nodes sends a sixth of the long prompts. From its own requests a node
-/// knows a sixth of what waits at an engine, and servers tell theirs only with answers; nodes then
-/// agree by chance on an engine that is busy already. Datagrams, since old news is worth nothing:
-/// one that is lost is made up for by the next. They only steer; no promise rests on them.
+/// Load pattern: each of six nodes sends a sixth of the long prompts. Its own requests show a node
+/// only a sixth of an engine's backlog, and servers report theirs only with answers, so that
+/// several nodes can choose an engine that is already busy. Updates are datagrams, since an old
+/// update is useless and the next one replaces one that is lost. They only steer requests; no
+/// guarantee depends on them.
 namespace vanilladyke {
 
 namespace wire {
 class NodeLoad;
 } // namespace wire
 
-/// @brief One node's part. Lives on the traffic thread.
+/// @brief Sends and receives the load updates of one node. Runs on the traffic thread.
 class LoadSharing
 {
 public:
-    /// Between two tellings, for up to NodesAtFullRate nodes; more nodes tell in proportion less
-    /// often, so that what a node sends and hears in a second stays the same.
+    /// Interval between two updates, for up to NodesAtFullRate nodes. With more nodes it grows in
+    /// proportion, so that the number of datagrams per node and second stays the same.
     static constexpr Duration Interval = std::chrono::milliseconds(80);
     static constexpr std::size_t NodesAtFullRate = 9;
-    /// A prompt that takes an engine a tenth of a second is told at once, as far as this allows.
+    /// Upper bound for urgent updates: placements and changed engine states are sent at once, as
+    /// for a prompt with a prefill time of 100 ms.
     static constexpr std::int64_t MostSendsPerSecond = 900;
 
-    /// @brief A node was heard of: its name and data centre as hashes, where it answers questions.
+    /// @brief A node was seen: hashes of its name and data centre, and the endpoint where it
+    /// answers requests for updates.
     using HeardNode = std::function<void(std::uint64_t, std::uint64_t, Endpoint)>;
 
-    /// @param questionsPort where this node answers questions of others
+    /// @param questionsPort port on which this node answers requests of other nodes
     LoadSharing(TrafficState &state, Endpoint listen, std::uint16_t questionsPort);
 
-    /// @brief Opens the port. @return what failed, or none
+    /// @brief Opens the port. @return an error message, or none on success
     [[nodiscard]] std::optional<std::string> open();
     void setPeers(const std::vector<Endpoint> &peers);
     void setKey(std::string key) { m_port.setKey(std::move(key)); }
     HeardNode heardNode = [](std::uint64_t, std::uint64_t, const Endpoint &) {};
-    /// @brief Another node knows the operator's records up to a higher offset than any before it.
+    /// @brief Another node has read the operator's records up to a higher offset than any before.
     std::function<void(std::uint64_t)> heardOperatorNext = [](std::uint64_t) {};
-    /// @brief Sends if it is time to.
+    /// @brief Sends an update if one is due.
     void step(TimePoint now);
-    /// @brief Sends at the next step, at most as often as news of placements: an engine's state
-    /// that changes many times a second must not take the link and the processor of a small host.
+    /// @brief Sends an update at the next step, at most as often as placement updates: an engine
+    /// state that changes many times a second must not saturate the link and CPU of a small host.
     void tellSoon() { m_hasUrgentNews = true; }
+    /// @brief Sends an update now.
     void tell(TimePoint now);
 
 private:
     using Udp = SealedPort::Udp;
-    /// A node that was heard of.
+    /// A node from which an update was received.
     struct Heard
     {
-        std::uint64_t sequence = 0; ///< the newest
+        std::uint64_t sequence = 0; ///< of the newest update
         TimePoint at;
-        TimePoint passedOnAt; ///< to the control thread
+        TimePoint passedOnAt; ///< last reported to the control thread
     };
-    /// One that was silent for so long is forgotten.
+    /// A node without an update for this long is dropped.
     static constexpr Duration HeardLife = std::chrono::minutes(1);
 
     void take(std::string_view bytes, const Udp::endpoint &from);
     void forgetSilent(TimePoint now);
-    /// A node that the list does not have takes its share of what all nodes may do.
+    /// Counts nodes that are not in the list too, since they share the fleet's limits.
     void countPeers();
     void passOn(wire::NodeLoad message);
     void takeLimits(const wire::NodeLoad &message, TimePoint now);
@@ -72,7 +76,7 @@
     std::uint16_t m_questionsPort;
     std::uint64_t m_self;
     std::uint64_t m_dataCentre; ///< hash of its name
-    std::uint64_t m_sequence; ///< begins with the time of start, so that a restart goes on above it
+    std::uint64_t m_sequence; ///< starts at the wall-clock time, so that a restart continues above
     NewsRoutes<Udp::endpoint> m_routes;
     std::unordered_map<std::uint64_t, Heard> m_heard;
     TimePoint m_nextAt;
--- a/src/vanilladyke/node/load_sharing.cpp
+++ b/src/vanilladyke/node/load_sharing.cpp
@@ -11,26 +11,26 @@
 
 namespace {
 
-/// A datagram holds so many servers at most; with more, the busiest are told.
+/// Most servers in one datagram; with more, the busiest are sent.
 constexpr std::size_t MostBackends = 1000;
 
-/// Requests under which engines ended, in one datagram.
+/// Most quarantine updates (requests during which engines terminated) in one datagram.
 constexpr std::size_t MostQuarantined = 40;
 
-/// Engines that name limits, in one datagram.
+/// Most engines with rate limits in one datagram.
 constexpr std::size_t MostLimits = 200;
 
-/// A node whose proof of the configuration is older does nothing for others.
+/// A node whose freshness proof of the configuration is older answers no requests of other nodes.
 constexpr Duration OldestProof = std::chrono::milliseconds(3500);
 
-/// What is known of named weights changes a few times a minute; a node that starts hears it within
-/// this time, or twice if a datagram is lost.
+/// Announced weights change a few times a minute. A starting node receives them within this time,
+/// or within twice this time if a datagram is lost.
 constexpr Duration TellWeightsEvery = std::chrono::milliseconds(400);
 
-/// Ages in milliseconds end here; nothing is decided by older ones.
+/// Cap of the ages that are sent; no decision depends on higher ones.
 constexpr Duration OldestTold = std::chrono::hours(24);
 
-/// The control thread needs to hear no more often that a node lives.
+/// Interval at which a live node is reported to the control thread.
 constexpr Duration PassOnEvery = std::chrono::seconds(1);
 
 std::uint32_t millis(Duration span)
@@ -43,7 +43,7 @@
 {
     out->set_model(weights.model.str());
     out->set_version(weights.date.version);
-    // Rounded up: the receiver's bound must not be later than this node's.
+    // Rounded up, so that the receiver's deadline isn't later than this node's.
     out->set_named_age_ms(millis(std::min(now - weights.date.namedAfter, OldestTold)) + 1);
     out->set_known_age_ms(millis(std::min(now - weights.date.knownAt, OldestTold)));
 }
@@ -255,7 +255,7 @@
     heard.sequence = message.sequence();
     heard.at = now;
     if (m_routes.heard(*origin, message.data_centre(), now)) {
-        countPeers(); // it came after the list was read
+        countPeers(); // it started after the list was read
     }
     if (message.pass_on()) {
         passOn(message);
