--- a/include/vanilladyke/node/boot_clock.hpp
+++ b/include/vanilladyke/node/boot_clock.hpp
@@ -4,8 +4,8 @@
 
 namespace vanilladyke {
 
-/// @brief A clock that counts the time during which the host was suspended, as the monotonic clock
-/// does not. What must not be trusted after a pause is aged by it: proofs of keys, leases.
+/// @brief A clock that keeps counting while the host is suspended, unlike the monotonic clock. Used
+/// for what expires during a suspension too: freshness proofs of keys, and leases.
 struct BootClock
 {
     [[nodiscard]] static TimePoint now();
--- a/include/vanilladyke/node/packed_record.hpp
+++ b/include/vanilladyke/node/packed_record.hpp
@@ -4,17 +4,18 @@
 #include <string>
 #include <string_view>
 
-/// Records of the configuration as nodes hand them to each other, compressed.
+/// Compresses configuration records that nodes send to each other.
 ///
-/// Load pattern: a configuration of two hundred customers is larger than what one datagram should
-/// carry. Each of hundreds of nodes would read each change from the platform's store itself.
+/// Load pattern: a configuration of two hundred customers is too large for one datagram.
+/// Uncompressed, each of hundreds of nodes would read each change from the platform's store itself.
 namespace vanilladyke {
 
-/// @brief A record unpacked is never larger: a node that sends nonsense must not fill the memory.
+/// @brief Upper bound of a decompressed record, so that a malformed one can't exhaust the memory.
 inline constexpr std::size_t MostUnpackedBytes = 4U << 20U;
 
+/// @return four length bytes, lowest first, and the compressed record
 [[nodiscard]] std::string packRecord(std::string_view record);
-/// @return none if it was not packed so, or would be too large
+/// @return none if @p packed is malformed or its record too large
 [[nodiscard]] std::optional<std::string> unpackRecord(std::string_view packed);
 
 } // namespace vanilladyke
--- a/include/vanilladyke/node/peer_questions.hpp
+++ b/include/vanilladyke/node/peer_questions.hpp
@@ -9,20 +9,23 @@
 
 namespace vanilladyke {
 
-/// @brief Questions of nodes to the one that reads the store for them, by datagrams. Runs on the
-/// control thread.
+/// @brief Requests of nodes to the node that reads the store for them, and their answers, as
+/// datagrams. Runs on the control thread.
 class PeerQuestions
 {
 public:
-    /// Nodes of one data centre answer in milliseconds, one with little processor in some dozens.
+    /// Time limit of an answer. Nodes of one data centre answer within milliseconds, one with
+    /// little CPU within a few dozen.
     static constexpr Duration AnswerTime = std::chrono::milliseconds(250);
 
     PeerQuestions(asio::io_context &context, const StateFollower &follower, Endpoint listen,
                   std::uint64_t seed);
 
-    /// @brief Opens the port. @return what failed, or none
+    /// @brief Opens the port. @return an error message, or none on success
     [[nodiscard]] std::optional<std::string> open();
     void setKey(std::string key) { m_port.setKey(std::move(key)); }
+    /// @brief Requests updates from the offsets on.
+    /// @return none if the peer doesn't answer within AnswerTime
     [[nodiscard]] asio::awaitable<std::optional<SharedNews>>
     ask(Endpoint peer, std::uint64_t operatorNext, std::uint64_t backendsNext);
 
@@ -40,7 +43,7 @@
     const StateFollower &m_follower;
     Random m_random;
     SealedPort m_port;
-    std::unordered_map<std::uint64_t, std::shared_ptr<Waiting>> m_waiting; ///< by question
+    std::unordered_map<std::uint64_t, std::shared_ptr<Waiting>> m_waiting; ///< by request number
 };
 
 } // namespace vanilladyke
--- a/include/vanilladyke/node/peer_seal.hpp
+++ b/include/vanilladyke/node/peer_seal.hpp
@@ -4,23 +4,23 @@
 #include <string>
 #include <string_view>
 
-/// Signs what nodes tell each other by datagrams.
+/// Authenticates datagrams between nodes.
 ///
-/// What a node tells steers requests and, where one node reads the store for others, says which
-/// keys are valid. So a datagram counts only if its sender knows the fleet's key, which lies in the
-/// platform's store, where only nodes and operators can read it. A number in each question and a
-/// sequence in each telling keep an old datagram from counting again.
+/// Updates between nodes steer requests and, where one node reads the store for others, determine
+/// which keys are valid. A datagram is therefore accepted only with a tag made with the fleet key,
+/// which is kept in the platform's store, where only nodes and operators can read it. The number of
+/// each request and the sequence of each load update prevent replay.
 namespace vanilladyke {
 
-/// @brief The fleet's key; without one nothing is sealed and nothing opens.
+/// @brief Signs and verifies datagrams with the fleet key; without a key verification fails.
 class PeerSeal
 {
 public:
     void setKey(std::string key) { m_key = std::move(key); }
     [[nodiscard]] bool isReady() const { return !m_key.empty(); }
-    /// @brief The message with its tag before it.
+    /// @return the tag, followed by the message
     [[nodiscard]] std::string seal(std::string_view message) const;
-    /// @return the message, or none if the tag is not that of the key
+    /// @return the message, or none if the tag doesn't match the key
     [[nodiscard]] std::optional<std::string_view> open(std::string_view datagram) const;
 
 private:
--- a/include/vanilladyke/node/ports.hpp
+++ b/include/vanilladyke/node/ports.hpp
@@ -9,85 +9,87 @@
 #include <optional>
 #include <vector>
 
-/// What the control side of a node needs from the outside, in the product's own terms. An adapter
-/// implements it with the protocol of the platform; tests with a few lines. Everything is called on
-/// the control thread.
+/// Interfaces between the control side of a node and the platform. An adapter implements them with
+/// the platform's protocol; tests use in-memory fakes. All calls are made on the control thread.
 namespace vanilladyke {
 
-/// @brief A part that the kept-cache store holds now, or no longer.
+/// @brief A part that was added to or removed from a kept-cache store.
 struct KeptPart
 {
     std::string salt;
     std::string part;
-    std::uint64_t tokens = 0; ///< 0: it is gone, or only its beginning is left
+    std::uint64_t tokens = 0; ///< 0: removed, or only its beginning is left
 };
 
-/// @brief What the platform's store tells a node.
+/// @brief Receives the changes read from the platform's store.
 class StateListener
 {
 public:
     virtual ~StateListener() = default;
     virtual void configurationRead(RoutingConfig config) = 0;
-    /// @param age how long ago it was written, at most; none: at an unknown time before this node
-    /// asked
+    /// @brief The operator announced weights.
+    /// @param age upper bound of the record's age; none: written at an unknown time before this
+    /// node's first read
     virtual void weightsNamed(const ModelId &model, std::uint64_t version,
                               std::optional<Duration> age) = 0;
-    /// @return whether anything but the server's sign of life changed
+    /// @return whether anything but the server's heartbeat changed
     virtual bool backendRead(BackendEntry entry) = 0;
     virtual void backendGone(const EngineId &id) = 0;
-    /// @brief The whole list was read; what is not in it is gone.
+    /// @brief The whole list was read; servers that are not in it are removed.
     virtual void backendsListed(const std::map<EngineId, bool> &present) = 0;
-    /// @brief All that the operator wrote before @p sentAt is known now.
+    /// @brief Freshness proof: all records that the operator wrote before @p sentAt were applied.
     virtual void configurationProved(TimePoint sentAt) = 0;
+    /// @brief A call to the store failed.
     virtual void storeFailed() = 0;
-    /// @brief Where the registered nodes, this one too, hear from each other.
+    /// @param peers where the registered nodes, including this one, receive each other's datagrams
     virtual void nodesListed(std::vector<Endpoint> peers) = 0;
-    /// @brief Nothing is known of the parts of a kept-cache store any more.
+    /// @brief The recorded parts of a kept-cache store are no longer valid.
     virtual void keptCacheReset(const Endpoint &store, KeptCacheState state) = 0;
     virtual void keptCacheChanged(const Endpoint &store, std::vector<KeptPart> parts) = 0;
 };
 
-/// @brief Follows what the kept-cache stores hold.
+/// @brief Follows the contents of the kept-cache stores.
 class KeptCacheFollower
 {
 public:
     virtual ~KeptCacheFollower() = default;
-    /// @brief Follows these stores from now on and no others.
+    /// @brief Replaces the followed stores.
     virtual void follow(const std::vector<Endpoint> &stores, StateListener &listener) = 0;
 };
 
-/// @brief How an append to the lease's log ended.
+/// @brief Result of an append to the lease log.
 enum class AppendEnd {
     Taken,
     Refused, ///< the log ends elsewhere
-    Unknown, ///< no answer: it may take effect, even later
+    Unknown, ///< no answer: the append may still take effect later
 };
 
-/// @brief The end of the lease's log.
+/// @brief The end of the lease log.
 struct LeaseLogState
 {
     std::uint64_t end = 0;
     std::optional<LeaseRecord> last;
 };
 
-/// @brief The log behind the lease of orders.
+/// @brief The log that stores the order lease.
 class LeaseLog
 {
 public:
     virtual ~LeaseLog() = default;
     virtual void append(const LeaseAppend &append,
                         std::function<void(AppendEnd, std::uint64_t end)> done) = 0;
-    /// @brief Reads the log's end. @param known waits a while for the log to grow beyond it
+    /// @brief Reads the log's end; none on failure.
+    /// @param known offset; waits a while for the log to grow beyond it
     virtual void read(std::optional<std::uint64_t> known,
                       std::function<void(std::optional<LeaseLogState>)> done) = 0;
 };
 
-/// @brief An engine's own word on its state.
+/// @brief The state that an engine reports.
 struct EngineReport
 {
     std::uint64_t ordersAccepted = 0;
-    bool isBusy = false; ///< an order is being carried out
-    int running = 0;     ///< requests; an order waits for them to end
+    bool isBusy = false; ///< an order is in progress
+    int running = 0;     ///< running requests; an order waits for them to end
     std::map<ModelId, std::uint64_t> weights;
 };
 
@@ -98,23 +100,24 @@
     std::uint64_t version = 0;
     std::string holder;
     std::uint64_t fence = 0;
-    std::uint64_t ordersAccepted = 0; ///< only carried out if the engine accepted just so many
+    std::uint64_t ordersAccepted = 0; ///< refused if the engine's count differs
 };
 
-/// @brief How an order ended.
+/// @brief Result of an order.
 enum class OrderEnd {
     Accepted,
-    Holds,   ///< the engine has the weights already
-    Refused, ///< another order is under way, or came in between
-    Gone,    ///< another engine has the address
-    Unknown, ///< no answer: it may be carried out, even later
+    Holds,   ///< the engine already has the weights
+    Refused, ///< another order is in progress, or was accepted first
+    Gone,    ///< another engine answered at the address
+    Unknown, ///< no answer: the order may still take effect later
 };
 
-/// @brief Orders and questions to engines.
+/// @brief Sends orders and report requests to engines.
 class EngineOrders
 {
 public:
     virtual ~EngineOrders() = default;
+    /// @brief Requests a report; none if the engine doesn't answer.
     virtual void report(const BackendEntry &engine,
                         std::function<void(std::optional<EngineReport>)> done) = 0;
     virtual void order(const BackendEntry &engine, const WeightsOrder &order,
--- a/include/vanilladyke/node/sealed_port.hpp
+++ b/include/vanilladyke/node/sealed_port.hpp
@@ -10,9 +10,9 @@
 
 namespace vanilladyke {
 
-/// @brief A port for datagrams of nodes. What the fleet's key did not seal is dropped; a full
-/// buffer or a peer that is gone loses a datagram, as the network may. Lives on its context's
-/// thread.
+/// @brief A UDP socket for authenticated datagrams between nodes. Datagrams without a valid tag of
+/// the fleet key are dropped. Delivery is not guaranteed: a full buffer or an unreachable peer
+/// loses a datagram. Runs on the thread of its context.
 class SealedPort
 {
 public:
@@ -21,15 +21,15 @@
 
     SealedPort(asio::io_context &context, Endpoint listen);
 
-    /// @brief Opens the port; every message that comes from then on goes to @p receiver.
-    /// @return what failed, or none
+    /// @brief Opens the port and passes each message with a valid tag to @p receiver.
+    /// @return an error message, or none on success
     [[nodiscard]] std::optional<std::string> open(Receiver receiver);
     void setKey(std::string key) { m_seal.setKey(std::move(key)); }
     [[nodiscard]] bool isReady() const { return m_seal.isReady(); }
-    /// @brief Sends the message to each of them; nothing without the key.
+    /// @brief Sends the message to each endpoint; without a key nothing is sent.
     void send(std::string_view message, const std::vector<Udp::endpoint> &to);
     [[nodiscard]] const Endpoint &listen() const { return m_listen; }
-    /// @return none if the host is no IP number
+    /// @return none if the host is not an IP address
     [[nodiscard]] static std::optional<Udp::endpoint> addressOf(const Endpoint &endpoint);
 
 private:
--- a/include/vanilladyke/node/store_calls.hpp
+++ b/include/vanilladyke/node/store_calls.hpp
@@ -9,36 +9,36 @@
 
 /// Counts this node's calls to the platform's store by kind, topic and cause.
 ///
-/// Every call has a price and a share of what the store takes, whatever the number of nodes. A node
-/// that calls more often than others, and why, shows in its metrics and in a line of its log.
+/// Each call is billed and uses a part of the store's capacity, which doesn't grow with the number
+/// of nodes. The metrics and a log line show a node that calls more often than others, and why.
 namespace vanilladyke {
 
 enum class StoreCall {
     List,   ///< the newest record of each key
     Read,   ///< records from an offset, answered at once
-    Wait,   ///< the same, held until there is a record
+    Wait,   ///< like Read, held until there is a record
     Append, ///< one record
 };
 
 enum class StoreTopic { Operator, Backends, Nodes, FleetKey, Lease };
 
-/// @brief Why a node makes a call itself.
+/// @brief Why a node calls the store itself.
 enum class CallCause {
-    Start,            ///< it knows nothing yet
-    Follow,           ///< from time to time
-    ForOthers,        ///< other nodes ask it
-    Alone,            ///< it hears of too few nodes to share
-    OldProof,         ///< what the node that it asks proves is too old
-    PeerCouldNotTell, ///< that node knows too little, or too much for an answer
-    PeerKnowsMore,    ///< a call of its own was passed over
-    Rollout,          ///< new weights are to be brought to engines
+    Start,            ///< the node has no state yet
+    Follow,           ///< periodic call
+    ForOthers,        ///< the node reads for other nodes
+    Alone,            ///< too few other nodes to share reads
+    OldProof,         ///< the reader's freshness proof is too old
+    PeerCouldNotTell, ///< the reader lacks the topic, or the answer is too large
+    PeerKnowsMore,    ///< another node has read further; an own call was missed
+    Rollout,          ///< new weights are being rolled out
 };
 
 [[nodiscard]] std::string_view toString(StoreCall call);
 [[nodiscard]] std::string_view toString(StoreTopic topic);
 [[nodiscard]] std::string_view toString(CallCause cause);
 
-/// @brief The counts of one node. Lives on the control thread.
+/// @brief The counters of one node. Runs on the control thread.
 class StoreCalls
 {
 public:
@@ -49,7 +49,7 @@
     {}
 
     void count(StoreCall call, StoreTopic topic, CallCause cause);
-    /// @brief Writes a line of all counts if there were calls since the last one, and it is time.
+    /// @brief Logs all counters if LogEvery has passed and there were calls since the last line.
     void log(TimePoint now);
     [[nodiscard]] std::uint64_t total() const { return m_total; }
 
--- a/src/vanilladyke/node/packed_record.cpp
+++ b/src/vanilladyke/node/packed_record.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// In front of the compressed bytes: the length of the record, the lowest byte first.
+/// The compressed bytes follow the length of the record, lowest byte first.
 constexpr std::size_t LengthBytes = 4;
 constexpr unsigned ByteBits = 8;
 
@@ -32,7 +32,8 @@
     for (std::size_t i = 0; i < LengthBytes; ++i) {
         packed[i] = static_cast<char>(record.size() >> (ByteBits * i));
     }
-    // With a buffer of the bound it can't fail but for want of memory, which ends the process.
+    // With a buffer of compressBound() only a failed allocation is an error, which ends the
+    // process.
     compress2(bytesOf(&packed, LengthBytes), &length, bytesOf(record),
               static_cast<uLong>(record.size()), Z_BEST_COMPRESSION);
     packed.resize(LengthBytes + length);
--- a/src/vanilladyke/node/packed_record_test.cpp
+++ b/src/vanilladyke/node/packed_record_test.cpp
@@ -5,7 +5,7 @@
 namespace vanilladyke {
 namespace {
 
-TEST(PackedRecord, ComesOutAsItWentIn)
+TEST(PackedRecord, RoundTripsRecords)
 {
     const std::string record = R"({"name": "a"})" + std::string(1, '\0') + "tail";
     EXPECT_EQ(unpackRecord(packRecord(record)), record);
@@ -21,9 +21,9 @@
     EXPECT_LT(packRecord(record).size(), 6000U);
 }
 
-// A datagram is cut short or changed on its way, or a node of another version sends it. Taken as a
-// record, it would be a configuration that nobody wrote.
-TEST(PackedRecord, WhatIsDamagedIsNoRecord)
+// Guards against a truncated or corrupted datagram, or one of another version, that is applied as a
+// configuration which the operator never wrote.
+TEST(PackedRecord, RejectsDamagedRecords)
 {
     const std::string packed = packRecord("a record that is long enough to be compressed at all");
     EXPECT_FALSE(unpackRecord(""));
--- a/src/vanilladyke/node/peer_questions.cpp
+++ b/src/vanilladyke/node/peer_questions.cpp
@@ -87,7 +87,7 @@
         answer.set_question(message.question());
         write(news.configuration, answer.mutable_news()->mutable_configuration());
         write(news.backends, answer.mutable_news()->mutable_backends());
-        m_port.send(answer.SerializeAsString(), {from}); // one that hears nothing reads for itself
+        m_port.send(answer.SerializeAsString(), {from}); // without it the peer reads the store
         return;
     }
     const auto waiting = m_waiting.find(message.question());
--- a/src/vanilladyke/node/peer_seal_test.cpp
+++ b/src/vanilladyke/node/peer_seal_test.cpp
@@ -7,7 +7,7 @@
 
 const std::string fleetKey(32, 'k');
 
-TEST(PeerSeal, OpensWhatTheFleetSealed)
+TEST(PeerSeal, VerifiesDatagramsWithTheFleetKey)
 {
     PeerSeal one;
     PeerSeal two;
@@ -17,8 +17,8 @@
     EXPECT_EQ(two.open(one.seal("")), "");
 }
 
-// A datagram could otherwise tell a node that a key that was taken away is still valid.
-TEST(PeerSeal, DoesNotOpenWhatOthersSealedOrChanged)
+// Guards against a forged datagram by which a node accepts a revoked key.
+TEST(PeerSeal, RejectsForeignOrModifiedDatagrams)
 {
     PeerSeal ours;
     PeerSeal theirs;
@@ -29,7 +29,7 @@
     changed.back() = 'x';
     EXPECT_FALSE(ours.open(changed));
     EXPECT_FALSE(ours.open("short"));
-    EXPECT_FALSE(PeerSeal().open(ours.seal("message"))) << "without the key nothing opens";
+    EXPECT_FALSE(PeerSeal().open(ours.seal("message"))) << "verification fails without a key";
 }
 
 } // namespace
--- a/src/vanilladyke/node/sealed_port.cpp
+++ b/src/vanilladyke/node/sealed_port.cpp
@@ -19,7 +19,7 @@
 {
     const auto endpoint = addressOf(m_listen);
     if (!endpoint) {
-        return m_listen.str() + ": no IP number";
+        return m_listen.str() + ": not an IP address";
     }
     ErrorCode error;
     m_socket.open(endpoint->protocol(), error);
--- a/src/vanilladyke/node/store_calls_test.cpp
+++ b/src/vanilladyke/node/store_calls_test.cpp
@@ -5,8 +5,8 @@
 namespace vanilladyke {
 namespace {
 
-// Calls to the store have a price. When it rises, an operator asks which node calls for what, and
-// why it does not ask another node instead.
+// Guards against calls that are counted under a wrong label: when the cost of the store rises, an
+// operator looks up which node calls for which topic, and why it doesn't ask another node.
 TEST(StoreCalls, EachCallIsCountedByKindTopicAndCause)
 {
     Metrics metrics;
