--- a/include/vanilladyke/node/control_plane.hpp
+++ b/include/vanilladyke/node/control_plane.hpp
@@ -68,7 +68,7 @@
     /// Posted, so that a page of a thousand entries is published once.
     void publishBackends();
     void publishNow();
-    [[nodiscard]] WeightsNews newsForTraffic();
+    [[nodiscard]] WeightsCallbacks newsForTraffic();
     template <typename Change>
     void tell(Change change)
     {
--- a/include/vanilladyke/node/weights_controller.hpp
+++ b/include/vanilladyke/node/weights_controller.hpp
@@ -14,12 +14,13 @@
 namespace vanilladyke {
 
 /// @brief Callbacks by which the controller updates the traffic side.
-struct WeightsNews
+struct WeightsCallbacks
 {
     std::function<void(const EngineId &, Duration)>
             loading; ///< engine and how long to send it no requests
     std::function<void(const EngineId &, const ModelId &, std::uint64_t)> loaded;
-    std::function<void(const WeightsAge &)> aged; ///< another node received the weights earlier
+    std::function<void(const WeightsAge &)>
+            receivedEarlier; ///< another node received the weights earlier
 };
 
 /// @brief Order lease, pacing and orders of one node. Runs on the control thread; the time is
@@ -30,30 +31,31 @@
     /// An engine's report is a few hundred milliseconds old; a report requested sooner after an
     /// order doesn't show that order yet.
     static constexpr Duration ReportLag = std::chrono::milliseconds(400);
-    static constexpr Duration NextQuestion = std::chrono::milliseconds(150);
+    static constexpr Duration ReportInterval = std::chrono::milliseconds(150);
     /// Fraction of the expected order time after which the first report is requested. Earlier
     /// requests cost calls and never show a finished order.
-    static constexpr double FirstQuestionPart = 0.7;
+    static constexpr double FirstReportFraction = 0.7;
     /// Requests are kept away from an engine with an order for this much longer than the order is
     /// expected to take: slow nodes receive an extension late, and the end of the order makes the
     /// engine available at once.
-    static constexpr Duration AnnounceBeyond = std::chrono::milliseconds(1000);
+    static constexpr Duration LoadingMargin = std::chrono::milliseconds(1000);
     /// An engine that leaves this many report requests in a row unanswered is treated as down, so
     /// that it doesn't block the orders of other engines.
-    static constexpr int MostSilentAnswers = 2;
+    static constexpr int MaxUnansweredReports = 2;
     /// Number of standby nodes that long-poll the lease log and so receive each record at once. The
     /// holder is often the first of them, and the next one has to detect its failure as soon as it
     /// may take over. The others poll at an interval that grows with their rank: nine nodes that
     /// all receive each renewal cost more store calls than everything else that nodes do.
-    static constexpr std::size_t Watchers = 2;
-    static constexpr Duration LookAgain = std::chrono::milliseconds(1000);
-    static constexpr std::size_t MostLookAgain = 5; ///< longest poll interval, in LookAgain
+    static constexpr std::size_t LongPollingRanks = 2;
+    static constexpr Duration LeasePollInterval = std::chrono::milliseconds(1000);
+    static constexpr std::size_t MaxLeasePollFactor =
+            5; ///< longest poll interval, in LeasePollInterval
     /// Delay between the claims of two ranks, so that the second one reads the record of the first.
-    static constexpr Duration RankPause = std::chrono::milliseconds(250);
+    static constexpr Duration ClaimDelayPerRank = std::chrono::milliseconds(250);
     /// An order without effect for this long is sent again.
     static constexpr Duration OrderTimeout = std::chrono::seconds(8);
     /// Interval at which a node that needs the lease logs the progress of the rollout.
-    static constexpr Duration LogEvery = std::chrono::seconds(1);
+    static constexpr Duration LogInterval = std::chrono::seconds(1);
 
     /// @brief A clock that keeps counting while the host is suspended. Answers arrive between steps
     /// and after suspensions, when the time of the last step is too old to check the lease against.
@@ -61,8 +63,8 @@
 
     WeightsController(std::string self, std::uint64_t incarnation, LeaseTerms terms,
                       const BackendRoster &roster, LeaseLog &log, EngineOrders &orders,
-                      WeightsNews news, StoreCalls &calls, Clock clock, RolloutTerms rolloutTerms,
-                      Random &random);
+                      WeightsCallbacks callbacks, StoreCalls &calls, Clock clock,
+                      RolloutTerms rolloutTerms, Random &random);
 
     /// @brief Sets the version that all engines with the model are to be brought to.
     void weightsNamed(const ModelId &model, std::uint64_t version, TimePoint now);
@@ -84,61 +86,61 @@
         ModelId model;
         std::uint64_t version = 0;
         TimePoint startedAt;
-        TimePoint askAt;
-        bool isAsking = false;
+        TimePoint reportAt;
+        bool isAwaitingAnswer = false;
         bool wasOrdered = false;
-        int silentAnswers = 0;      ///< report requests in a row without an answer
+        int unansweredReports = 0;  ///< report requests in a row without an answer
         TimePoint announcedUntil{}; ///< other nodes were sent this end of the load
     };
 
     [[nodiscard]] std::vector<RolloutEngine> enginesOf(const ModelId &model) const;
     [[nodiscard]] std::uint64_t versionOf(const BackendEntry &entry, const ModelId &model) const;
     /// Whether this node has to hold the lease or wait for it.
-    [[nodiscard]] bool wantsToOrder(TimePoint now);
-    void stepLease(bool wantsToOrder, TimePoint now);
+    [[nodiscard]] bool needsLease(TimePoint now);
+    void stepLease(bool needsLease, TimePoint now);
     void readLease(TimePoint now);
-    [[nodiscard]] Duration lookAgain() const;
+    [[nodiscard]] Duration leasePollDelay() const;
     /// Whether the delay of this node's rank has passed and it has read the claims of lower ranks.
     [[nodiscard]] bool mayClaim(TimePoint now);
-    void sawLease(const LeaseLogState &state);
-    [[nodiscard]] LeaseNews leaseNews(TimePoint now) const;
+    void applyLeaseState(const LeaseLogState &state);
+    [[nodiscard]] LeaseNews leaseUpdate(TimePoint now) const;
     void startLoads(TimePoint now);
     void stepLoad(const EngineId &id, Load &load, TimePoint now);
-    void reported(const EngineId &id, const std::optional<EngineReport> &report);
-    void giveOrder(const BackendEntry &engine, Load &load, std::uint64_t accepted);
+    void reportReceived(const EngineId &id, const std::optional<EngineReport> &report);
+    void sendOrder(const BackendEntry &engine, Load &load, std::uint64_t accepted);
     void announce(const EngineId &id, Load &load, Duration expected);
     [[nodiscard]] WeightsRollout &rolloutOf(const ModelId &model);
     /// Time of the next report request to an engine whose order was accepted.
-    [[nodiscard]] TimePoint nextQuestion(const Load &load) const;
-    void ordered(const EngineId &id, OrderEnd end);
-    void finish(const EngineId &id, bool succeeded);
+    [[nodiscard]] TimePoint nextReportAt(const Load &load) const;
+    void orderAnswered(const EngineId &id, OrderEnd end);
+    void endLoad(const EngineId &id, bool succeeded);
     void logProgress(TimePoint now);
     /// Why this node may send no orders; empty if it may.
-    [[nodiscard]] std::string_view waitsFor(TimePoint now) const;
+    [[nodiscard]] std::string_view waitReason(TimePoint now) const;
 
     std::string m_self;
     OrderLease m_lease;
     const BackendRoster &m_roster;
     LeaseLog &m_log;
     EngineOrders &m_orders;
-    WeightsNews m_news;
+    WeightsCallbacks m_callbacks;
     StoreCalls &m_calls;
     Clock m_clock;
     RolloutTerms m_rolloutTerms;
-    Duration m_patience;
+    Duration m_claimDelay;
     std::map<ModelId, WeightsRollout> m_rollouts;
     std::map<EngineId, Load> m_loads;
     std::map<std::pair<EngineId, ModelId>, std::uint64_t> m_observed;
     std::map<EngineId, TimePoint> m_orderedAt; ///< last order from this node to the engine
     Duration m_gap;
-    int m_openOrders = 0; ///< without an answer yet
+    int m_pendingOrders = 0; ///< without an answer yet
     bool m_stopping = false;
-    std::optional<std::size_t> m_rank = 0; ///< among the standby nodes
-    std::optional<TimePoint> m_wantsSince; ///< since when the lease is needed
-    bool m_hasLooked = false;              ///< whether the log was read since m_wantsSince
+    std::optional<std::size_t> m_rank = 0;  ///< among the standby nodes
+    std::optional<TimePoint> m_neededSince; ///< since when the lease is needed
+    bool m_hasReadLease = false;            ///< whether the log was read since m_neededSince
     bool m_isReading = false;
-    TimePoint m_readAt;
-    LeaseReach m_reach;
+    TimePoint m_nextReadAt;
+    LeaseReach m_reachability;
     std::size_t m_otherNodes = 0;
     TimePoint m_loggedAt;
 };
--- a/src/vanilladyke/node/control_plane.cpp
+++ b/src/vanilladyke/node/control_plane.cpp
@@ -38,9 +38,9 @@
     , m_timer(context)
 {}
 
-WeightsNews ControlPlane::newsForTraffic()
+WeightsCallbacks ControlPlane::newsForTraffic()
 {
-    WeightsNews news;
+    WeightsCallbacks news;
     news.loading = [this](const EngineId &id, Duration span) {
         tell([id, span](TrafficState &traffic) {
             traffic.book.loading(id, MonotonicClock::now() + span);
@@ -53,7 +53,7 @@
             traffic.tellPeers();
         });
     };
-    news.aged = [this](const WeightsAge &weights) {
+    news.receivedEarlier = [this](const WeightsAge &weights) {
         const TimePoint knownAt = MonotonicClock::now() - weights.age;
         const NamedWeights named{weights.model, {weights.version, knownAt, knownAt}};
         tell([named](TrafficState &traffic) {
--- a/src/vanilladyke/node/weights_controller.cpp
+++ b/src/vanilladyke/node/weights_controller.cpp
@@ -9,26 +9,27 @@
 namespace {
 
 /// Upper bound of the random delay before a claim, so that standby nodes don't claim in lockstep.
-constexpr double MostPatienceSeconds = 0.4;
+constexpr double MaxClaimDelaySeconds = 0.4;
 /// Delay before a failed read of the lease log is retried.
-constexpr Duration ReadPause = std::chrono::milliseconds(200);
+constexpr Duration ReadRetryDelay = std::chrono::milliseconds(200);
 
 } // namespace
 
 WeightsController::WeightsController(std::string self, std::uint64_t incarnation, LeaseTerms terms,
                                      const BackendRoster &roster, LeaseLog &log,
-                                     EngineOrders &orders, WeightsNews news, StoreCalls &calls,
-                                     Clock clock, RolloutTerms rolloutTerms, Random &random)
+                                     EngineOrders &orders, WeightsCallbacks callbacks,
+                                     StoreCalls &calls, Clock clock, RolloutTerms rolloutTerms,
+                                     Random &random)
     : m_self(self)
     , m_lease(std::move(self), incarnation, terms)
     , m_roster(roster)
     , m_log(log)
     , m_orders(orders)
-    , m_news(std::move(news))
+    , m_callbacks(std::move(callbacks))
     , m_calls(calls)
     , m_clock(std::move(clock))
     , m_rolloutTerms(rolloutTerms)
-    , m_patience(spanOfSeconds(uniform(random) * MostPatienceSeconds))
+    , m_claimDelay(spanOfSeconds(uniform(random) * MaxClaimDelaySeconds))
     , m_gap(terms.gap + terms.margin)
 {}
 
@@ -37,20 +38,20 @@
     m_stopping = true;
 }
 
-LeaseNews WeightsController::leaseNews(TimePoint now) const
+LeaseNews WeightsController::leaseUpdate(TimePoint now) const
 {
-    LeaseNews news;
+    LeaseNews update;
     for (const auto &[engine, at] : m_orderedAt) {
         if (now - at < m_gap) {
-            news.ordered.push_back(engine);
+            update.ordered.push_back(engine);
         }
     }
     for (const auto &[model, rollout] : m_rollouts) {
         if (rollout.goal() > 0) {
-            news.weights.push_back({model, rollout.goal(), now - rollout.namedAt()});
+            update.weights.push_back({model, rollout.goal(), now - rollout.namedAt()});
         }
     }
-    return news;
+    return update;
 }
 
 void WeightsController::weightsNamed(const ModelId &model, std::uint64_t version, TimePoint now)
@@ -97,35 +98,35 @@
     });
 }
 
-bool WeightsController::wantsToOrder(TimePoint now)
+bool WeightsController::needsLease(TimePoint now)
 {
     const bool mayOrder = m_lease.mayOrder(now);
-    if (mayOrder && m_otherNodes > 0 && m_reach.isLost(now)) {
+    if (mayOrder && m_otherNodes > 0 && m_reachability.isLost(now)) {
         LogEvent("lease_handed_on", Severity::Warning)
                 .field("reason", "engines_silent")
-                .field("failures", m_reach.failures());
-        m_reach.handedOn(now);
+                .field("failures", m_reachability.failures());
+        m_reachability.handedOn(now);
     }
-    return !m_stopping && !m_reach.isPausing(now) && (m_rank || mayOrder) && isPending();
+    return !m_stopping && !m_reachability.isPausing(now) && (m_rank || mayOrder) && isPending();
 }
 
 void WeightsController::step(TimePoint now)
 {
-    const bool wants = wantsToOrder(now);
-    if (!wants) {
+    const bool isNeeded = needsLease(now);
+    if (!isNeeded) {
         for (auto &[model, rollout] : m_rollouts) {
             rollout.abandon();
         }
         m_loads.clear();
-        m_wantsSince.reset();
-        m_hasLooked = false;
-        m_reach.forget();
-    } else if (!m_wantsSince) {
-        m_wantsSince = now;
-        m_readAt = now; // the delay of the last read concerned earlier weights
-    }
-    stepLease(wants, now);
-    if (!wants) {
+        m_neededSince.reset();
+        m_hasReadLease = false;
+        m_reachability.forget();
+    } else if (!m_neededSince) {
+        m_neededSince = now;
+        m_nextReadAt = now; // the delay of the last read concerned earlier weights
+    }
+    stepLease(isNeeded, now);
+    if (!isNeeded) {
         return;
     }
     logProgress(now);
@@ -146,7 +147,7 @@
     }
 }
 
-std::string_view WeightsController::waitsFor(TimePoint now) const
+std::string_view WeightsController::waitReason(TimePoint now) const
 {
     if (m_lease.mayOrder(now)) {
         return {};
@@ -160,7 +161,7 @@
 
 void WeightsController::logProgress(TimePoint now)
 {
-    if (now - m_loggedAt < LogEvery) {
+    if (now - m_loggedAt < LogInterval) {
         return;
     }
     m_loggedAt = now;
@@ -179,21 +180,21 @@
                 .field("first_pending", progress.first.str())
                 .field("first_failures", progress.firstFailures)
                 .field("order_time_ms", rollout.orderTime())
-                .field("silent_tries", m_reach.failures())
+                .field("silent_tries", m_reachability.failures())
                 .field("rank", m_rank ? std::to_string(*m_rank) : "none")
-                .field("waits_for", waitsFor(now));
+                .field("waits_for", waitReason(now));
     }
 }
 
-void WeightsController::stepLease(bool wantsToOrder, TimePoint now)
+void WeightsController::stepLease(bool needsLease, TimePoint now)
 {
-    if (!wantsToOrder && m_openOrders > 0) {
+    if (!needsLease && m_pendingOrders > 0) {
         return; // a release states that no order is in progress
     }
-    if (wantsToOrder && !mayClaim(now)) {
+    if (needsLease && !mayClaim(now)) {
         return;
     }
-    if (const auto append = m_lease.nextAppend(wantsToOrder, m_patience, leaseNews(now), now)) {
+    if (const auto append = m_lease.nextAppend(needsLease, m_claimDelay, leaseUpdate(now), now)) {
         m_calls.count(StoreCall::Append, StoreTopic::Lease, CallCause::Rollout);
         m_log.append(*append, [this](AppendEnd end, std::uint64_t offset) {
             if (end == AppendEnd::Taken) {
@@ -205,7 +206,7 @@
         });
         return;
     }
-    if (wantsToOrder) {
+    if (needsLease) {
         readLease(now);
     }
 }
@@ -216,47 +217,47 @@
     if (rank == 0 || m_lease.mayOrder(now)) {
         return true;
     }
-    if (now - *m_wantsSince < RankPause * static_cast<int>(rank)) {
+    if (now - *m_neededSince < ClaimDelayPerRank * static_cast<int>(rank)) {
         return false;
     }
-    if (!m_hasLooked) {
+    if (!m_hasReadLease) {
         readLease(now); // a claim at an outdated end of the log would be refused
     }
-    return m_hasLooked;
+    return m_hasReadLease;
 }
 
-Duration WeightsController::lookAgain() const
+Duration WeightsController::leasePollDelay() const
 {
-    const std::size_t pauses = std::min(m_rank.value_or(0) + 1, MostLookAgain);
-    return LookAgain * static_cast<int>(pauses);
+    const std::size_t pauses = std::min(m_rank.value_or(0) + 1, MaxLeasePollFactor);
+    return LeasePollInterval * static_cast<int>(pauses);
 }
 
 void WeightsController::readLease(TimePoint now)
 {
-    if (m_isReading || now < m_readAt || (!m_lease.needsRead() && m_lease.mayOrder(now))) {
+    if (m_isReading || now < m_nextReadAt || (!m_lease.needsRead() && m_lease.mayOrder(now))) {
         return;
     }
     m_isReading = true;
-    const bool watches = m_rank.value_or(0) < Watchers;
+    const bool longPolls = m_rank.value_or(0) < LongPollingRanks;
     std::optional<std::uint64_t> known;
-    if (!m_lease.needsRead() && watches) {
+    if (!m_lease.needsRead() && longPolls) {
         known = m_lease.end();
     }
     m_calls.count(known ? StoreCall::Wait : StoreCall::Read, StoreTopic::Lease, CallCause::Rollout);
-    m_log.read(known, [this, watches](const std::optional<LeaseLogState> &state) {
+    m_log.read(known, [this, longPolls](const std::optional<LeaseLogState> &state) {
         m_isReading = false;
         if (!state) {
-            m_readAt = m_clock() + ReadPause;
+            m_nextReadAt = m_clock() + ReadRetryDelay;
             return;
         }
-        m_hasLooked = true;
+        m_hasReadLease = true;
         const bool isHeld = state->last && !state->last->isRelease;
-        m_readAt = m_clock() + (watches || !isHeld ? Duration::zero() : lookAgain());
-        sawLease(*state);
+        m_nextReadAt = m_clock() + (longPolls || !isHeld ? Duration::zero() : leasePollDelay());
+        applyLeaseState(*state);
     });
 }
 
-void WeightsController::sawLease(const LeaseLogState &state)
+void WeightsController::applyLeaseState(const LeaseLogState &state)
 {
     m_lease.sawLog(state.end, state.last, m_clock());
     if (!state.last || state.last->holder == m_self) {
@@ -271,7 +272,7 @@
         if (rollout != m_rollouts.end() && rollout->second.goal() == each.version
             && rollout->second.namedAt() > m_clock() - each.age) {
             rollout->second.date(m_clock() - each.age);
-            m_news.aged(each);
+            m_callbacks.receivedEarlier(each);
         }
     }
 }
@@ -293,51 +294,52 @@
 {
     const BackendEntry *engine = m_roster.find(id);
     if (engine == nullptr || engine->isDraining || now - load.startedAt > OrderTimeout) {
-        finish(id, false);
+        endLoad(id, false);
         return;
     }
-    if (load.isAsking || now < load.askAt) {
+    if (load.isAwaitingAnswer || now < load.reportAt) {
         return;
     }
-    load.isAsking = true;
+    load.isAwaitingAnswer = true;
     if (!load.wasOrdered) {
         // Announced along with the report request, so that other nodes have sent their last
         // request to the engine before the order arrives.
         announce(id, load, Duration::zero());
     }
     m_orders.report(*engine, [this, id](const std::optional<EngineReport> &report) {
-        reported(id, report);
+        reportReceived(id, report);
     });
 }
 
-void WeightsController::reported(const EngineId &id, const std::optional<EngineReport> &report)
+void WeightsController::reportReceived(const EngineId &id,
+                                       const std::optional<EngineReport> &report)
 {
     const auto found = m_loads.find(id);
     if (found == m_loads.end()) {
         return;
     }
     Load &load = found->second;
-    load.isAsking = false;
-    load.askAt = nextQuestion(load);
+    load.isAwaitingAnswer = false;
+    load.reportAt = nextReportAt(load);
     const BackendEntry *engine = m_roster.find(id);
     if (report) {
-        m_reach.answered(id, m_clock());
+        m_reachability.answered(id, m_clock());
     } else {
-        m_reach.failed(id, m_clock());
+        m_reachability.failed(id, m_clock());
     }
     if (!report || engine == nullptr) {
-        if (!load.wasOrdered || ++load.silentAnswers >= MostSilentAnswers) {
-            finish(id, false);
+        if (!load.wasOrdered || ++load.unansweredReports >= MaxUnansweredReports) {
+            endLoad(id, false);
         }
         return;
     }
-    load.silentAnswers = 0;
+    load.unansweredReports = 0;
     const auto version = report->weights.find(load.model);
     const std::uint64_t has = version == report->weights.end() ? 0 : version->second;
     m_observed[{id, load.model}] = has;
     if (has >= load.version) {
-        m_news.loaded(id, load.model, has);
-        finish(id, true);
+        m_callbacks.loaded(id, load.model, has);
+        endLoad(id, true);
         return;
     }
     if (report->isBusy) {
@@ -348,38 +350,38 @@
     if (load.wasOrdered && m_clock() - load.startedAt < ReportLag) {
         return;
     }
-    giveOrder(*engine, load, report->ordersAccepted);
+    sendOrder(*engine, load, report->ordersAccepted);
 }
 
-TimePoint WeightsController::nextQuestion(const Load &load) const
+TimePoint WeightsController::nextReportAt(const Load &load) const
 {
-    const TimePoint soon = m_clock() + NextQuestion;
+    const TimePoint soon = m_clock() + ReportInterval;
     const auto rollout = m_rollouts.find(load.model);
     if (!load.wasOrdered || rollout == m_rollouts.end()) {
         return soon;
     }
-    const double expected = FirstQuestionPart * secondsOf(rollout->second.orderTime());
+    const double expected = FirstReportFraction * secondsOf(rollout->second.orderTime());
     return std::max(soon, load.startedAt + spanOfSeconds(expected));
 }
 
 void WeightsController::announce(const EngineId &id, Load &load, Duration expected)
 {
-    const TimePoint until = m_clock() + expected + AnnounceBeyond;
-    if (until - load.announcedUntil < AnnounceBeyond / 2) {
+    const TimePoint until = m_clock() + expected + LoadingMargin;
+    if (until - load.announcedUntil < LoadingMargin / 2) {
         return; // the sent end is late enough, and each announcement goes to all nodes
     }
     load.announcedUntil = until;
-    m_news.loading(id, expected + AnnounceBeyond);
+    m_callbacks.loading(id, expected + LoadingMargin);
 }
 
-void WeightsController::giveOrder(const BackendEntry &engine, Load &load, std::uint64_t accepted)
+void WeightsController::sendOrder(const BackendEntry &engine, Load &load, std::uint64_t accepted)
 {
     if (!m_lease.mayOrder(m_clock())) {
-        finish(engine.id, false);
+        endLoad(engine.id, false);
         return;
     }
     load.wasOrdered = true;
-    load.isAsking = true;
+    load.isAwaitingAnswer = true;
     load.startedAt = m_clock();
     // Orders the newest announced weights: an older version would need a second order, and every
     // answer until then would come from superseded weights.
@@ -388,7 +390,7 @@
     rollout.ordered(engine.id, m_clock());
     announce(engine.id, load, rollout.orderTime());
     m_orderedAt[engine.id] = m_clock();
-    ++m_openOrders;
+    ++m_pendingOrders;
     const WeightsOrder order{load.model, load.version, m_self, m_lease.fence(), accepted};
     LogEvent("weights_order")
             .field("backend", engine.id.str())
@@ -396,36 +398,36 @@
             .field("version", order.version)
             .field("fence", order.fence)
             .field("orders_accepted", accepted);
-    m_orders.order(engine, order, [this, id = engine.id](OrderEnd end) { ordered(id, end); });
+    m_orders.order(engine, order, [this, id = engine.id](OrderEnd end) { orderAnswered(id, end); });
 }
 
-void WeightsController::ordered(const EngineId &id, OrderEnd end)
+void WeightsController::orderAnswered(const EngineId &id, OrderEnd end)
 {
-    --m_openOrders;
+    --m_pendingOrders;
     m_orderedAt[id] = m_clock();
     const auto found = m_loads.find(id);
     if (found == m_loads.end()) {
         return;
     }
     Load &load = found->second;
-    load.isAsking = false;
+    load.isAwaitingAnswer = false;
     load.startedAt = m_clock();
     switch (end) {
     case OrderEnd::Accepted:
-        load.askAt = m_clock() + ReportLag;
+        load.reportAt = m_clock() + ReportLag;
         break;
     case OrderEnd::Holds:
     case OrderEnd::Refused:
-        load.askAt = m_clock() + NextQuestion;
+        load.reportAt = m_clock() + ReportInterval;
         break;
     case OrderEnd::Unknown:
         // The order may take effect seconds later or never. Waiting for it would occupy a slot
         // that other engines need; the engine keeps serving and is ordered again later.
-        m_news.loading(id, Duration::zero());
-        finish(id, false);
+        m_callbacks.loading(id, Duration::zero());
+        endLoad(id, false);
         break;
     case OrderEnd::Gone:
-        finish(id, false);
+        endLoad(id, false);
         break;
     }
     if (end != OrderEnd::Accepted) {
@@ -435,7 +437,7 @@
     }
 }
 
-void WeightsController::finish(const EngineId &id, bool succeeded)
+void WeightsController::endLoad(const EngineId &id, bool succeeded)
 {
     const auto found = m_loads.find(id);
     if (found == m_loads.end()) {
--- a/src/vanilladyke/node/weights_controller_test.cpp
+++ b/src/vanilladyke/node/weights_controller_test.cpp
@@ -13,7 +13,7 @@
 const ModelId llmModel("m");
 
 /// A log that accepts each append at its end at once.
-class OpenLog : public LeaseLog
+class MemoryLeaseLog : public LeaseLog
 {
 public:
     void append(const LeaseAppend &append,
@@ -51,13 +51,13 @@
 };
 
 /// Simulated engines that finish their running requests, then load the ordered weights.
-class TrialEngines : public EngineOrders
+class FakeEngines : public EngineOrders
 {
 public:
     static constexpr Duration Runs = milliseconds(1400);
     static constexpr Duration Load = milliseconds(430);
 
-    explicit TrialEngines(const TimePoint &now)
+    explicit FakeEngines(const TimePoint &now)
         : m_now(now)
     {}
 
@@ -77,7 +77,7 @@
                std::function<void(OrderEnd)> done) override
     {
         ordered.push_back(order.version);
-        if (silent.contains(engine.id)) {
+        if (losesOrders.contains(engine.id)) {
             done(OrderEnd::Unknown);
             return;
         }
@@ -90,7 +90,7 @@
 
     [[nodiscard]] std::uint64_t versionOf(const EngineId &id) { return stateOf(id).version; }
 
-    std::set<EngineId> silent; ///< engines that lose every order
+    std::set<EngineId> losesOrders; ///< engines that lose every order
     std::vector<std::uint64_t> ordered;
 
 private:
@@ -116,12 +116,12 @@
 };
 
 /// The network path from one node to the engines. Calls to cut engines time out.
-class TrialPath : public EngineOrders
+class FakePath : public EngineOrders
 {
 public:
-    static constexpr Duration Patience = milliseconds(600);
+    static constexpr Duration AnswerTimeout = milliseconds(600);
 
-    TrialPath(const TimePoint &now, TrialEngines &engines)
+    FakePath(const TimePoint &now, FakeEngines &engines)
         : m_now(now)
         , m_engines(engines)
     {}
@@ -129,8 +129,8 @@
     void report(const BackendEntry &engine,
                 std::function<void(std::optional<EngineReport>)> done) override
     {
-        if (cut.contains(engine.id)) {
-            m_late.emplace(m_now + Patience, [done] { done(std::nullopt); });
+        if (unreachable.contains(engine.id)) {
+            m_timeouts.emplace(m_now + AnswerTimeout, [done] { done(std::nullopt); });
             return;
         }
         m_engines.report(engine, done);
@@ -139,8 +139,8 @@
     void order(const BackendEntry &engine, const WeightsOrder &order,
                std::function<void(OrderEnd)> done) override
     {
-        if (cut.contains(engine.id)) {
-            m_late.emplace(m_now + Patience, [done] { done(OrderEnd::Unknown); });
+        if (unreachable.contains(engine.id)) {
+            m_timeouts.emplace(m_now + AnswerTimeout, [done] { done(OrderEnd::Unknown); });
             return;
         }
         m_engines.order(engine, order, done);
@@ -148,19 +148,19 @@
 
     void step()
     {
-        while (!m_late.empty() && m_late.begin()->first <= m_now) {
-            const auto done = m_late.begin()->second;
-            m_late.erase(m_late.begin());
+        while (!m_timeouts.empty() && m_timeouts.begin()->first <= m_now) {
+            const auto done = m_timeouts.begin()->second;
+            m_timeouts.erase(m_timeouts.begin());
             done();
         }
     }
 
-    std::set<EngineId> cut;
+    std::set<EngineId> unreachable;
 
 private:
     const TimePoint &m_now;
-    TrialEngines &m_engines;
-    std::multimap<TimePoint, std::function<void()>> m_late;
+    FakeEngines &m_engines;
+    std::multimap<TimePoint, std::function<void()>> m_timeouts;
 };
 
 class WeightsControllerTest : public testing::Test
@@ -183,11 +183,11 @@
 
     std::unique_ptr<WeightsController> controller(const std::string &name, EngineOrders &orders)
     {
-        const WeightsNews news{[](const EngineId &, Duration) {},
-                               [](const EngineId &, const ModelId &, std::uint64_t) {},
-                               [](const WeightsAge &) {}};
+        const WeightsCallbacks callbacks{[](const EngineId &, Duration) {},
+                                         [](const EngineId &, const ModelId &, std::uint64_t) {},
+                                         [](const WeightsAge &) {}};
         return std::make_unique<WeightsController>(
-                name, 1, LeaseTerms(), m_roster, m_log, orders, news, m_calls,
+                name, 1, LeaseTerms(), m_roster, m_log, orders, callbacks, m_calls,
                 [this] { return m_now; }, RolloutTerms{milliseconds(8000)}, m_random);
     }
 
@@ -207,7 +207,7 @@
     }
 
     /// Adds a standby node that reaches all engines.
-    void withSecondNode()
+    void addSecondNode()
     {
         m_second = controller("second", m_engines);
         m_second->setStandbyRank(1);
@@ -217,18 +217,18 @@
 
     /// Expects the holder to release the lease within the time limit for unreachable engines, and
     /// the second node to update all engines.
-    void expectAllBroughtThoughTheHolderReachesOnly(int engines)
+    void expectAllUpdatedThoughHolderReachesOnly(int engines)
     {
-        withSecondNode();
+        addSecondNode();
         for (int i = engines; i < Engines; ++i) {
-            m_path.cut.insert(idOf(i));
+            m_path.unreachable.insert(idOf(i));
         }
-        nameForBoth(2);
-        stepFor(LeaseReach::LongestSilence + 2 * TrialPath::Patience + WholeRollout);
+        announceToBoth(2);
+        stepFor(LeaseReach::LongestSilence + 2 * FakePath::AnswerTimeout + WholeRollout);
         EXPECT_EQ(onVersion(2), Engines);
     }
 
-    void nameForBoth(std::uint64_t version)
+    void announceToBoth(std::uint64_t version)
     {
         m_controller->weightsNamed(llmModel, version, m_now);
         m_second->weightsNamed(llmModel, version, m_now);
@@ -248,9 +248,9 @@
     Metrics m_metrics;
     StoreCalls m_calls{m_metrics};
     BackendRoster m_roster;
-    OpenLog m_log;
-    TrialEngines m_engines{m_now};
-    TrialPath m_path{m_now, m_engines}; ///< path of the first node
+    MemoryLeaseLog m_log;
+    FakeEngines m_engines{m_now};
+    FakePath m_path{m_now, m_engines}; ///< path of the first node
     std::unique_ptr<WeightsController> m_controller;
     std::unique_ptr<WeightsController> m_second; ///< standby node, in some tests
 };
@@ -260,12 +260,12 @@
 // would be refused after the platform's deadline.
 TEST_F(WeightsControllerTest, UnansweredOrdersDoNotBlockOtherEngines)
 {
-    m_engines.silent = {idOf(0), idOf(1)};
+    m_engines.losesOrders = {idOf(0), idOf(1)};
     stepFor(milliseconds(200));
     m_controller->weightsNamed(llmModel, 2, m_now);
     stepFor(milliseconds(6000));
     EXPECT_EQ(onVersion(2), Engines - 2);
-    m_engines.silent.clear();
+    m_engines.losesOrders.clear();
     stepFor(milliseconds(6000));
     EXPECT_EQ(onVersion(2), Engines);
 }
@@ -307,8 +307,8 @@
         stepFor(terms.renewAfter);
     }
     ASSERT_EQ(m_log.holder(), "first");
-    constexpr Duration Patience = milliseconds(500); // random delay of the claim
-    stepFor(terms.validity + terms.gap + terms.margin - terms.renewAfter + Patience);
+    constexpr Duration ClaimDelay = milliseconds(500); // random delay of the claim
+    stepFor(terms.validity + terms.gap + terms.margin - terms.renewAfter + ClaimDelay);
     EXPECT_EQ(m_log.holder(), "node");
 }
 
@@ -316,23 +316,23 @@
 // and all engines would stay on old weights.
 TEST_F(WeightsControllerTest, HolderReachingNoEngineReleasesTheLease)
 {
-    expectAllBroughtThoughTheHolderReachesOnly(0);
+    expectAllUpdatedThoughHolderReachesOnly(0);
 }
 
 // Guards against a holder that keeps the lease although it reaches only one engine.
 TEST_F(WeightsControllerTest, HolderReachingOneEngineReleasesTheLease)
 {
-    expectAllBroughtThoughTheHolderReachesOnly(1);
+    expectAllUpdatedThoughHolderReachesOnly(1);
 }
 
 // Guards against a lease that moves from node to node while engines answer reports but lose orders.
 TEST_F(WeightsControllerTest, UnansweredOrdersDoNotReleaseTheLease)
 {
-    withSecondNode();
+    addSecondNode();
     for (int i = 0; i < Engines; ++i) {
-        m_engines.silent.insert(idOf(i));
+        m_engines.losesOrders.insert(idOf(i));
     }
-    nameForBoth(2);
+    announceToBoth(2);
     stepFor(milliseconds(6000));
     EXPECT_EQ(m_log.holder(), "node");
 }
@@ -340,9 +340,9 @@
 // Guards against a third of the engines that stay on old weights while the holder can't reach them.
 TEST_F(WeightsControllerTest, HolderReachingSomeEnginesReleasesTheLease)
 {
-    withSecondNode();
-    m_path.cut = {idOf(6), idOf(7), idOf(8)};
-    nameForBoth(2);
+    addSecondNode();
+    m_path.unreachable = {idOf(6), idOf(7), idOf(8)};
+    announceToBoth(2);
     stepFor(milliseconds(15000));
     EXPECT_EQ(onVersion(2), Engines);
 }
@@ -350,16 +350,16 @@
 // Guards against a lease that no node claims after the engines were down for all nodes.
 TEST_F(WeightsControllerTest, RecoveredEnginesAreOrderedSoon)
 {
-    withSecondNode();
+    addSecondNode();
     m_second = controller("second", m_path);
     m_second->setStandbyRank(1);
     m_second->setOtherNodes(1);
     for (int i = 0; i < Engines; ++i) {
-        m_path.cut.insert(idOf(i));
+        m_path.unreachable.insert(idOf(i));
     }
-    nameForBoth(2);
+    announceToBoth(2);
     stepFor(std::chrono::seconds(60));
-    m_path.cut.clear();
+    m_path.unreachable.clear();
     stepFor(LeaseReach::Pause + WholeRollout);
     EXPECT_EQ(onVersion(2), Engines);
 }
@@ -367,12 +367,12 @@
 // Guards against a lease that is released although no other node could take it.
 TEST_F(WeightsControllerTest, SingleNodeKeepsTryingUnreachableEngines)
 {
-    m_path.cut = {idOf(7), idOf(8)};
+    m_path.unreachable = {idOf(7), idOf(8)};
     m_controller->weightsNamed(llmModel, 2, m_now);
     stepFor(milliseconds(12000));
     EXPECT_EQ(m_log.holder(), "node");
     EXPECT_FALSE(m_log.isReleased());
-    m_path.cut.clear();
+    m_path.unreachable.clear();
     stepFor(milliseconds(6000));
     EXPECT_EQ(onVersion(2), Engines);
 }
