--- a/include/vanilladyke/node/ports.hpp
+++ b/include/vanilladyke/node/ports.hpp
@@ -58,8 +58,8 @@
 };
 
 /// @brief Result of an append to the lease log.
-enum class AppendEnd {
-    Taken,
+enum class LeaseAppendResult {
+    Accepted,
     Refused, ///< the log ends elsewhere
     Unknown, ///< no answer: the append may still take effect later
 };
@@ -77,7 +77,7 @@
 public:
     virtual ~LeaseLog() = default;
     virtual void append(const LeaseAppend &append,
-                        std::function<void(AppendEnd, std::uint64_t end)> done) = 0;
+                        std::function<void(LeaseAppendResult, std::uint64_t end)> done) = 0;
     /// @brief Reads the log's end; none on failure.
     /// @param known offset; waits a while for the log to grow beyond it
     virtual void read(std::optional<std::uint64_t> known,
@@ -104,12 +104,12 @@
 };
 
 /// @brief Result of an order.
-enum class OrderEnd {
+enum class OrderResult {
     Accepted,
-    Holds,   ///< the engine already has the weights
-    Refused, ///< another order is in progress, or was accepted first
-    Gone,    ///< another engine answered at the address
-    Unknown, ///< no answer: the order may still take effect later
+    AlreadyLoaded, ///< the engine already has the weights
+    Refused,       ///< another order is in progress, or was accepted first
+    OtherEngine,   ///< another engine answered at the address
+    Unknown,       ///< no answer: the order may still take effect later
 };
 
 /// @brief Sends orders and report requests to engines.
@@ -121,7 +121,7 @@
     virtual void report(const BackendEntry &engine,
                         std::function<void(std::optional<EngineReport>)> done) = 0;
     virtual void order(const BackendEntry &engine, const WeightsOrder &order,
-                       std::function<void(OrderEnd)> done) = 0;
+                       std::function<void(OrderResult)> done) = 0;
 };
 
 } // namespace vanilladyke
--- a/include/vanilladyke/node/record_store.hpp
+++ b/include/vanilladyke/node/record_store.hpp
@@ -44,7 +44,7 @@
 /// @brief Result of an append.
 struct AppendResult
 {
-    bool isTaken = false;
+    bool isAccepted = false;
     std::uint64_t end = 0; ///< of the topic
 };
 
--- a/include/vanilladyke/node/weights_controller.hpp
+++ b/include/vanilladyke/node/weights_controller.hpp
@@ -112,7 +112,7 @@
     [[nodiscard]] WeightsRollout &rolloutOf(const ModelId &model);
     /// Time of the next report request to an engine whose order was accepted.
     [[nodiscard]] TimePoint nextReportAt(const Load &load) const;
-    void orderAnswered(const EngineId &id, OrderEnd end);
+    void orderAnswered(const EngineId &id, OrderResult end);
     void endLoad(const EngineId &id, bool succeeded);
     void logProgress(TimePoint now);
     /// Why this node may send no orders; empty if it may.
--- a/src/vanilladyke/node/state_follower.cpp
+++ b/src/vanilladyke/node/state_follower.cpp
@@ -514,7 +514,7 @@
             m_calls.count(StoreCall::Append, StoreTopic::Nodes, CallCause::Start);
             const auto appended =
                     co_await m_store.append(StateTopic::Nodes, std::move(here), std::nullopt);
-            isRegistered = appended && appended->isTaken;
+            isRegistered = appended && appended->isAccepted;
         }
         co_await pause(NodesPause);
         m_calls.count(StoreCall::List, StoreTopic::Nodes, CallCause::Follow);
@@ -553,7 +553,7 @@
             KeyedRecord record{FleetKeyName, key};
             const auto appended =
                     co_await m_store.append(StateTopic::FleetKey, std::move(record), 0);
-            if (appended && appended->isTaken) {
+            if (appended && appended->isAccepted) {
                 knowFleetKey(std::move(key));
                 co_return;
             }
--- a/src/vanilladyke/node/state_follower_test.cpp
+++ b/src/vanilladyke/node/state_follower_test.cpp
@@ -82,11 +82,11 @@
                                                         std::optional<std::uint64_t> at) override
     {
         ++calls;
-        const bool isTaken = !at || *at == topics[topic].size();
-        if (isTaken) {
+        const bool isAccepted = !at || *at == topics[topic].size();
+        if (isAccepted) {
             topics[topic].push_back(record.value);
         }
-        co_return AppendResult{isTaken, topics[topic].size()};
+        co_return AppendResult{isAccepted, topics[topic].size()};
     }
 
     std::map<StateTopic, std::vector<std::string>> topics;
--- a/src/vanilladyke/node/weights_controller.cpp
+++ b/src/vanilladyke/node/weights_controller.cpp
@@ -196,12 +196,12 @@
     }
     if (const auto append = m_lease.nextAppend(needsLease, m_claimDelay, leaseUpdate(now), now)) {
         m_calls.count(StoreCall::Append, StoreTopic::Lease, CallCause::Rollout);
-        m_log.append(*append, [this](AppendEnd end, std::uint64_t offset) {
-            if (end == AppendEnd::Taken) {
+        m_log.append(*append, [this](LeaseAppendResult end, std::uint64_t offset) {
+            if (end == LeaseAppendResult::Accepted) {
                 m_lease.appended(offset, m_clock());
                 return;
             }
-            LogEvent("lease_append_failed").field("known", end == AppendEnd::Refused);
+            LogEvent("lease_append_failed").field("known", end == LeaseAppendResult::Refused);
             m_lease.appendInDoubt();
         });
         return;
@@ -398,10 +398,11 @@
             .field("version", order.version)
             .field("fence", order.fence)
             .field("orders_accepted", accepted);
-    m_orders.order(engine, order, [this, id = engine.id](OrderEnd end) { orderAnswered(id, end); });
+    m_orders.order(engine, order,
+                   [this, id = engine.id](OrderResult end) { orderAnswered(id, end); });
 }
 
-void WeightsController::orderAnswered(const EngineId &id, OrderEnd end)
+void WeightsController::orderAnswered(const EngineId &id, OrderResult end)
 {
     --m_pendingOrders;
     m_orderedAt[id] = m_clock();
@@ -413,24 +414,24 @@
     load.isAwaitingAnswer = false;
     load.startedAt = m_clock();
     switch (end) {
-    case OrderEnd::Accepted:
+    case OrderResult::Accepted:
         load.reportAt = m_clock() + ReportLag;
         break;
-    case OrderEnd::Holds:
-    case OrderEnd::Refused:
+    case OrderResult::AlreadyLoaded:
+    case OrderResult::Refused:
         load.reportAt = m_clock() + ReportInterval;
         break;
-    case OrderEnd::Unknown:
+    case OrderResult::Unknown:
         // The order may take effect seconds later or never. Waiting for it would occupy a slot
         // that other engines need; the engine keeps serving and is ordered again later.
         m_callbacks.loading(id, Duration::zero());
         endLoad(id, false);
         break;
-    case OrderEnd::Gone:
+    case OrderResult::OtherEngine:
         endLoad(id, false);
         break;
     }
-    if (end != OrderEnd::Accepted) {
+    if (end != OrderResult::Accepted) {
         LogEvent("weights_order_failed")
                 .field("backend", id.str())
                 .field("end", static_cast<int>(end));
--- a/src/vanilladyke/node/weights_controller_test.cpp
+++ b/src/vanilladyke/node/weights_controller_test.cpp
@@ -17,14 +17,14 @@
 {
 public:
     void append(const LeaseAppend &append,
-                std::function<void(AppendEnd, std::uint64_t end)> done) override
+                std::function<void(LeaseAppendResult, std::uint64_t end)> done) override
     {
         if (append.at != m_end) {
-            done(AppendEnd::Refused, m_end);
+            done(LeaseAppendResult::Refused, m_end);
             return;
         }
         m_last = append.record;
-        done(AppendEnd::Taken, ++m_end);
+        done(LeaseAppendResult::Accepted, ++m_end);
     }
 
     void read(std::optional<std::uint64_t> /*known*/,
@@ -74,18 +74,18 @@
     }
 
     void order(const BackendEntry &engine, const WeightsOrder &order,
-               std::function<void(OrderEnd)> done) override
+               std::function<void(OrderResult)> done) override
     {
         ordered.push_back(order.version);
         if (losesOrders.contains(engine.id)) {
-            done(OrderEnd::Unknown);
+            done(OrderResult::Unknown);
             return;
         }
         Engine &state = stateOf(engine.id);
         ++state.accepted;
         state.next = order.version;
         state.loadedAt = m_now + Runs + Load;
-        done(OrderEnd::Accepted);
+        done(OrderResult::Accepted);
     }
 
     [[nodiscard]] std::uint64_t versionOf(const EngineId &id) { return stateOf(id).version; }
@@ -137,10 +137,10 @@
     }
 
     void order(const BackendEntry &engine, const WeightsOrder &order,
-               std::function<void(OrderEnd)> done) override
+               std::function<void(OrderResult)> done) override
     {
         if (unreachable.contains(engine.id)) {
-            m_timeouts.emplace(m_now + AnswerTimeout, [done] { done(OrderEnd::Unknown); });
+            m_timeouts.emplace(m_now + AnswerTimeout, [done] { done(OrderResult::Unknown); });
             return;
         }
         m_engines.order(engine, order, done);
