--- a/include/vanilladyke/node/control_plane.hpp
+++ b/include/vanilladyke/node/control_plane.hpp
@@ -51,10 +51,10 @@
     [[nodiscard]] StoreCalls &storeCalls() { return m_calls; }
 
     void configurationRead(RoutingConfig config) override;
-    void weightsNamed(const ModelId &model, std::uint64_t version,
-                      std::optional<Duration> age) override;
+    void weightsAnnounced(const ModelId &model, std::uint64_t version,
+                          std::optional<Duration> age) override;
     bool backendRead(BackendEntry entry) override;
-    void backendGone(const EngineId &id) override;
+    void backendRemoved(const EngineId &id) override;
     void backendsListed(const std::map<EngineId, bool> &present) override;
     void configurationProved(TimePoint sentAt) override;
     void storeFailed() override;
--- a/include/vanilladyke/node/ports.hpp
+++ b/include/vanilladyke/node/ports.hpp
@@ -30,11 +30,11 @@
     /// @brief The operator announced weights.
     /// @param age upper bound of the record's age; none: written at an unknown time before this
     /// node's first read
-    virtual void weightsNamed(const ModelId &model, std::uint64_t version,
-                              std::optional<Duration> age) = 0;
+    virtual void weightsAnnounced(const ModelId &model, std::uint64_t version,
+                                  std::optional<Duration> age) = 0;
     /// @return whether anything but the server's heartbeat changed
     virtual bool backendRead(BackendEntry entry) = 0;
-    virtual void backendGone(const EngineId &id) = 0;
+    virtual void backendRemoved(const EngineId &id) = 0;
     /// @brief The whole list was read; servers that are not in it are removed.
     virtual void backendsListed(const std::map<EngineId, bool> &present) = 0;
     /// @brief Freshness proof: all records that the operator wrote before @p sentAt were applied.
--- a/include/vanilladyke/node/weights_controller.hpp
+++ b/include/vanilladyke/node/weights_controller.hpp
@@ -67,7 +67,7 @@
                       RolloutTerms rolloutTerms, Random &random);
 
     /// @brief Sets the version that all engines with the model are to be brought to.
-    void weightsNamed(const ModelId &model, std::uint64_t version, TimePoint now);
+    void weightsAnnounced(const ModelId &model, std::uint64_t version, TimePoint now);
     /// @brief Performs all due work. Called every few dozen milliseconds.
     void step(TimePoint now);
     [[nodiscard]] bool isPending() const;
--- a/src/vanilladyke/node/control_plane.cpp
+++ b/src/vanilladyke/node/control_plane.cpp
@@ -121,10 +121,10 @@
     m_keptCache.follow(stores, *this);
 }
 
-void ControlPlane::weightsNamed(const ModelId &model, std::uint64_t version,
-                                std::optional<Duration> age)
+void ControlPlane::weightsAnnounced(const ModelId &model, std::uint64_t version,
+                                    std::optional<Duration> age)
 {
-    m_weights.weightsNamed(model, version, BootClock::now());
+    m_weights.weightsAnnounced(model, version, BootClock::now());
     // Read here, since the traffic thread may run the posted change late.
     const TimePoint now = MonotonicClock::now();
     if (age) {
@@ -159,7 +159,7 @@
     return isNews;
 }
 
-void ControlPlane::backendGone(const EngineId &id)
+void ControlPlane::backendRemoved(const EngineId &id)
 {
     const bool isOut = m_roster.remove(id, BootClock::now());
     LogEvent("backend_gone").field("backend", id.str()).field("at_once", isOut);
--- a/src/vanilladyke/node/state_follower_test.cpp
+++ b/src/vanilladyke/node/state_follower_test.cpp
@@ -116,7 +116,7 @@
     void applyOperator(const KeyedRecord &, std::optional<Duration> age,
                        StateListener &listener) const override
     {
-        listener.weightsNamed(ModelId("m"), 1, age);
+        listener.weightsAnnounced(ModelId("m"), 1, age);
     }
     bool applyBackend(const KeyedRecord &record, StateListener &listener) const override
     {
@@ -130,7 +130,7 @@
 {
 public:
     void configurationRead(RoutingConfig) override {}
-    void weightsNamed(const ModelId &, std::uint64_t, std::optional<Duration> age) override
+    void weightsAnnounced(const ModelId &, std::uint64_t, std::optional<Duration> age) override
     {
         ++named;
         writtenAt = age ? BootClock::now() - *age : TimePoint::min();
@@ -140,7 +140,7 @@
         backends.push_back(entry.id.str());
         return true;
     }
-    void backendGone(const EngineId &) override {}
+    void backendRemoved(const EngineId &) override {}
     void backendsListed(const std::map<EngineId, bool> &) override {}
     void configurationProved(TimePoint at) override
     {
--- a/src/vanilladyke/node/weights_controller.cpp
+++ b/src/vanilladyke/node/weights_controller.cpp
@@ -54,7 +54,7 @@
     return update;
 }
 
-void WeightsController::weightsNamed(const ModelId &model, std::uint64_t version, TimePoint now)
+void WeightsController::weightsAnnounced(const ModelId &model, std::uint64_t version, TimePoint now)
 {
     WeightsRollout &rollout = rolloutOf(model);
     if (version > rollout.goal()) {
--- a/src/vanilladyke/node/weights_controller_test.cpp
+++ b/src/vanilladyke/node/weights_controller_test.cpp
@@ -230,8 +230,8 @@
 
     void announceToBoth(std::uint64_t version)
     {
-        m_controller->weightsNamed(llmModel, version, m_now);
-        m_second->weightsNamed(llmModel, version, m_now);
+        m_controller->weightsAnnounced(llmModel, version, m_now);
+        m_second->weightsAnnounced(llmModel, version, m_now);
     }
 
     [[nodiscard]] int onVersion(std::uint64_t version)
@@ -262,7 +262,7 @@
 {
     m_engines.losesOrders = {idOf(0), idOf(1)};
     stepFor(milliseconds(200));
-    m_controller->weightsNamed(llmModel, 2, m_now);
+    m_controller->weightsAnnounced(llmModel, 2, m_now);
     stepFor(milliseconds(6000));
     EXPECT_EQ(onVersion(2), Engines - 2);
     m_engines.losesOrders.clear();
@@ -274,11 +274,11 @@
 // unavailable for two loads.
 TEST_F(WeightsControllerTest, SupersededWeightsAreNotOrdered)
 {
-    m_controller->weightsNamed(llmModel, 2, m_now);
+    m_controller->weightsAnnounced(llmModel, 2, m_now);
     stepFor(milliseconds(1500));
     ASSERT_FALSE(m_engines.ordered.empty());
     m_engines.ordered.clear();
-    m_controller->weightsNamed(llmModel, 3, m_now);
+    m_controller->weightsAnnounced(llmModel, 3, m_now);
     stepFor(milliseconds(8000));
     EXPECT_EQ(onVersion(3), Engines);
     EXPECT_EQ(std::count(m_engines.ordered.begin(), m_engines.ordered.end(), 2), 0);
@@ -289,7 +289,7 @@
 // engines have to be on the new weights by then.
 TEST_F(WeightsControllerTest, RolloutEndsBeforeRequestsAreWithdrawn)
 {
-    m_controller->weightsNamed(llmModel, 2, m_now);
+    m_controller->weightsAnnounced(llmModel, 2, m_now);
     stepFor(milliseconds(7200));
     EXPECT_EQ(onVersion(2), Engines);
 }
@@ -300,7 +300,7 @@
 TEST_F(WeightsControllerTest, SecondStandbyTakesOverAsSoonAsAllowed)
 {
     m_controller->setStandbyRank(1);
-    m_controller->weightsNamed(llmModel, 2, m_now);
+    m_controller->weightsAnnounced(llmModel, 2, m_now);
     const LeaseTerms terms;
     for (int i = 0; i < 12; ++i) {
         m_log.appendAs("first");
@@ -368,7 +368,7 @@
 TEST_F(WeightsControllerTest, SingleNodeKeepsTryingUnreachableEngines)
 {
     m_path.unreachable = {idOf(7), idOf(8)};
-    m_controller->weightsNamed(llmModel, 2, m_now);
+    m_controller->weightsAnnounced(llmModel, 2, m_now);
     stepFor(milliseconds(12000));
     EXPECT_EQ(m_log.holder(), "node");
     EXPECT_FALSE(m_log.isReleased());
@@ -382,7 +382,7 @@
 TEST_F(WeightsControllerTest, LowerRankedStandbysPollRarely)
 {
     m_controller->setStandbyRank(6);
-    m_controller->weightsNamed(llmModel, 2, m_now);
+    m_controller->weightsAnnounced(llmModel, 2, m_now);
     const LeaseTerms terms;
     constexpr int Renewals = 20;
     for (int i = 0; i < Renewals; ++i) {
@@ -398,7 +398,7 @@
 TEST_F(WeightsControllerTest, LowerRankedStandbysReadBeforeClaiming)
 {
     m_controller->setStandbyRank(2);
-    m_controller->weightsNamed(llmModel, 2, m_now);
+    m_controller->weightsAnnounced(llmModel, 2, m_now);
     stepFor(milliseconds(300));
     m_log.appendAs("first");
     stepFor(milliseconds(2000));
