--- a/include/vanilladyke/node/state_follower.hpp
+++ b/include/vanilladyke/node/state_follower.hpp
@@ -68,7 +68,7 @@
     /// all. @return none if it is not one of them
     [[nodiscard]] std::optional<std::size_t> standbyRank() const;
     /// @brief Number of other nodes that were seen recently.
-    [[nodiscard]] std::size_t otherNodes() const { return m_turn.size(); }
+    [[nodiscard]] std::size_t otherNodes() const { return m_readers.size(); }
     /// @brief The answer to a node that requests updates.
     [[nodiscard]] SharedNews newsSince(std::uint64_t operatorNext,
                                        std::uint64_t backendsNext) const;
@@ -95,33 +95,33 @@
     [[nodiscard]] asio::awaitable<bool> listBackends();
     [[nodiscard]] asio::awaitable<void> followNodes();
     [[nodiscard]] asio::awaitable<void> findFleetKey();
-    [[nodiscard]] asio::awaitable<void> askOthers();
+    [[nodiscard]] asio::awaitable<void> followReader();
     [[nodiscard]] asio::awaitable<void> pause(Duration span);
     [[nodiscard]] asio::awaitable<void> failed(BackOff &backOff);
     [[nodiscard]] bool readsForOthers() const;
     [[nodiscard]] bool isShared(const Topic &topic, Duration limit) const;
     /// Why this node reads the topic from the store itself.
-    [[nodiscard]] CallCause whyRead(const Topic &topic) const;
+    [[nodiscard]] CallCause readCause(const Topic &topic) const;
     /// @param age upper bound of the record's age
     /// @param by source of the record, for the log
     void applyOperator(std::uint64_t offset, const std::string &record, Duration age,
                        std::string_view by);
     void applyBackend(std::uint64_t offset, std::string record);
-    void proveOperator(TimePoint at);
+    void renewOperatorProof(TimePoint at);
     /// @param from offset of the page's first record
     /// @param provedAt time up to which the page is known to be complete
-    void takeOperatorPage(const RecordPage &page, std::uint64_t from, TimePoint provedAt);
-    void knowOperatorUpTo(std::uint64_t next);
+    void applyOperatorPage(const RecordPage &page, std::uint64_t from, TimePoint provedAt);
+    void setOperatorNext(std::uint64_t next);
     [[nodiscard]] asio::awaitable<void> catchUp();
-    void take(const SharedNews &news, TimePoint askedAt);
-    static void mustRead(Topic *topic, const std::optional<RecordRelay::News> &news,
-                         TimePoint askedAt);
+    void applyUpdates(const SharedNews &updates, TimePoint requestedAt);
+    static void mustRead(Topic *topic, const std::optional<RecordRelay::News> &updates,
+                         TimePoint requestedAt);
     /// How long a reader's call waits for the operator's next record.
-    [[nodiscard]] Duration waitForOthers(TimePoint now) const;
+    [[nodiscard]] Duration readerWait(TimePoint now) const;
     /// Whether another node's freshness proof is too old to replace an own call to the store.
-    [[nodiscard]] bool isBehind(const SharedNews &news) const;
-    void knowFleetKey(std::string key) const;
-    void takeOperator(const RecordRelay::News &news, TimePoint askedAt);
+    [[nodiscard]] bool isBehind(const SharedNews &updates) const;
+    void reportFleetKey(std::string key) const;
+    void applyOperatorUpdates(const RecordRelay::News &updates, TimePoint requestedAt);
 
     asio::io_context &m_context;
     RecordStore &m_store;
@@ -131,13 +131,13 @@
     NodeIdentity m_self;
     FollowTerms m_terms;
     Random m_random;
-    ReadingTurn m_turn;
+    ReadingTurn m_readers;
     AskPeer m_ask;
     Topic m_operator;
     Topic m_backends;
     TimePoint m_listedAt = TimePoint(); ///< when the operator's records were last listed
-    std::uint64_t m_heardNext = 0;      ///< highest offset up to which another node has read
-    std::uint64_t m_refutedNext = 0;    ///< received offsets up to here exceed the store's end
+    std::uint64_t m_receivedNext = 0;   ///< highest offset up to which another node has read
+    std::uint64_t m_rejectedNext = 0;   ///< received offsets up to here exceed the store's end
     bool m_isCatchingUp = false;        ///< with the offset received from another node
     std::atomic<std::uint64_t> m_operatorNext{0};
     bool m_stopped = false;
--- a/src/vanilladyke/node/state_follower.cpp
+++ b/src/vanilladyke/node/state_follower.cpp
@@ -18,45 +18,46 @@
 /// in force. A reader that has lost the store may not detect it; other nodes detect it by the age
 /// of its proof. With a longer wait the proof of a healthy reader would be as old as that of a
 /// reader that is cut off.
-constexpr double WaitPartForOthers = 0.45;
+constexpr double ReaderWaitFraction = 0.45;
 /// Fraction of the same time after which another node's proof is too old and this node reads the
 /// store itself. The rest of the time is left for that call.
-constexpr double OldestSharedPart = 0.75;
+constexpr double MaxPeerProofFraction = 0.75;
 /// Fraction of the same time for which a listing counts as fresh. A starting node finds a reader
 /// meanwhile.
-constexpr double SettlePart = 0.4;
+constexpr double FreshListingFraction = 0.4;
 /// Lower bound of the random fraction of the wait that each call uses. All nodes begin their next
 /// call when a record arrives; with equal waits, a moment at which the store misses waiting calls
 /// would hit all nodes at once.
-constexpr double ShortestWaitPart = 0.8;
+constexpr double MinWaitFraction = 0.8;
 /// Time for the answer of this node's waiting call to arrive once another node has the record.
 /// After that the store is assumed to have missed the call.
-constexpr Duration PassedOverAfter = std::chrono::milliseconds(150);
+constexpr Duration MissedCallAfter = std::chrono::milliseconds(150);
 /// Poll interval for entries, as a fraction of the time within which a draining server has to be
 /// removed; the rest is left for one call without an answer. Entries are written at each heartbeat,
 /// so that a waiting call would return for each of them.
-constexpr double BackendsPart = 0.42;
+constexpr double BackendsPollFraction = 0.42;
 /// The same for a node that reads for others, which ask it only afterwards.
-constexpr double BackendsPartForOthers = 0.25;
-constexpr Duration AskEvery = std::chrono::milliseconds(400);
+constexpr double ReaderBackendsPollFraction = 0.25;
+constexpr Duration AskInterval = std::chrono::milliseconds(400);
 /// More than the number of nodes that fail together before the others detect it.
-constexpr std::size_t NodesStandingBy = 9;
+constexpr std::size_t StandbyNodes = 9;
 /// Nodes that start together register within this time. A node sends updates to all nodes in its
 /// list, so that one listing by either of two nodes connects both.
-constexpr Duration NodesPause = std::chrono::milliseconds(700);
+constexpr Duration NodesListDelay = std::chrono::milliseconds(700);
 /// For nodes that were cut off from all others when those started. Each listing costs a call per
 /// node.
-constexpr Duration NodesAgainPause = std::chrono::minutes(5);
-constexpr Duration KeyPause = std::chrono::milliseconds(900);
+constexpr Duration NodesListInterval = std::chrono::minutes(5);
+constexpr Duration FleetKeyRetryDelay = std::chrono::milliseconds(900);
 /// Hundreds of nodes start at the same time. With starts spread over this span nearly all of them
 /// find the key that the first one wrote; otherwise each would list, append and list again.
-constexpr Duration KeySpread = std::chrono::milliseconds(400);
+constexpr Duration FleetKeyStartSpread = std::chrono::milliseconds(400);
 /// Back-off after failed calls: a lost answer must not use up the time within which a change has to
 /// take effect, and a store that is down must not be flooded.
-constexpr BackOffSpans FailureSpans{std::chrono::milliseconds(60), std::chrono::milliseconds(500)};
+constexpr BackOffSpans RetryIntervals{std::chrono::milliseconds(60),
+                                      std::chrono::milliseconds(500)};
 /// Compressed size that fits into one datagram. Each node reads a larger configuration from the
 /// store itself.
-constexpr std::size_t MostSharedBytes = 16000;
+constexpr std::size_t MaxSharedBytes = 16000;
 constexpr const char *FleetKeyName = "key";
 
 std::vector<Endpoint> endpointsOf(const std::vector<KeyedRecord> &nodes)
@@ -74,13 +75,13 @@
 /// The time up to which the page contains all of the operator's writes. The store answers a read as
 /// soon as there is a record, so an empty answer after the whole wait proves that none was written
 /// until its end.
-TimePoint provedBy(const RecordPage &page, TimePoint sentAt, Duration wait, TimePoint now)
+TimePoint proofTimeOf(const RecordPage &page, TimePoint sentAt, Duration wait, TimePoint now)
 {
-    const bool waitedItOut = page.records.empty() && now - sentAt >= wait;
-    return waitedItOut ? sentAt + wait : sentAt;
+    const bool waitedFully = page.records.empty() && now - sentAt >= wait;
+    return waitedFully ? sentAt + wait : sentAt;
 }
 
-Duration partOf(Duration span, double part)
+Duration fractionOf(Duration span, double part)
 {
     return spanOfSeconds(secondsOf(span) * part);
 }
@@ -99,7 +100,7 @@
     , m_self(std::move(self))
     , m_terms(terms)
     , m_random(seed)
-    , m_turn(m_self.hash, m_self.dataCentre)
+    , m_readers(m_self.hash, m_self.dataCentre)
 {}
 
 void StateFollower::start()
@@ -108,26 +109,26 @@
     asio::co_spawn(m_context, followBackends(), asio::detached);
     asio::co_spawn(m_context, followNodes(), asio::detached);
     asio::co_spawn(m_context, findFleetKey(), asio::detached);
-    asio::co_spawn(m_context, askOthers(), asio::detached);
+    asio::co_spawn(m_context, followReader(), asio::detached);
 }
 
 void StateFollower::heardNode(std::uint64_t node, std::uint64_t dataCentre,
                               const Endpoint &endpoint)
 {
-    m_turn.heard(node, dataCentre, endpoint, BootClock::now());
+    m_readers.heard(node, dataCentre, endpoint, BootClock::now());
 }
 
 std::optional<std::size_t> StateFollower::standbyRank() const
 {
-    const std::size_t rank = m_turn.rank(BootClock::now());
-    return rank < NodesStandingBy ? std::optional(rank) : std::nullopt;
+    const std::size_t rank = m_readers.rank(BootClock::now());
+    return rank < StandbyNodes ? std::optional(rank) : std::nullopt;
 }
 
 SharedNews StateFollower::newsSince(std::uint64_t operatorNext, std::uint64_t backendsNext) const
 {
     const TimePoint now = BootClock::now();
-    return {m_operator.relay.since(operatorNext, MostSharedBytes, now),
-            m_backends.relay.since(backendsNext, MostSharedBytes, now)};
+    return {m_operator.relay.since(operatorNext, MaxSharedBytes, now),
+            m_backends.relay.since(backendsNext, MaxSharedBytes, now)};
 }
 
 asio::awaitable<void> StateFollower::pause(Duration span)
@@ -149,10 +150,10 @@
 {
     const TimePoint now = BootClock::now();
     return m_ask && topic.isListed && !topic.mustRead && now - topic.provedAt < limit
-           && m_turn.whomToAsk(now);
+           && m_readers.whomToAsk(now);
 }
 
-CallCause StateFollower::whyRead(const Topic &topic) const
+CallCause StateFollower::readCause(const Topic &topic) const
 {
     if (!m_ask) {
         return CallCause::Start;
@@ -160,7 +161,7 @@
     if (topic.mustRead) {
         return CallCause::PeerCouldNotTell;
     }
-    if (m_turn.whomToAsk(BootClock::now())) {
+    if (m_readers.whomToAsk(BootClock::now())) {
         return CallCause::OldProof;
     }
     return readsForOthers() ? CallCause::ForOthers : CallCause::Alone;
@@ -168,80 +169,80 @@
 
 bool StateFollower::readsForOthers() const
 {
-    return m_ask && m_turn.size() + 1 >= ReadingTurn::LeastNodes;
+    return m_ask && m_readers.size() + 1 >= ReadingTurn::LeastNodes;
 }
 
-asio::awaitable<void> StateFollower::askOthers()
+asio::awaitable<void> StateFollower::followReader()
 {
     while (!m_stopped) {
-        co_await pause(spanOfSeconds(secondsOf(AskEvery) * (0.75 + uniform(m_random) / 2)));
-        const TimePoint askedAt = BootClock::now();
-        const auto whom = m_turn.whomToAsk(askedAt);
-        if (!m_ask || !whom || !m_operator.isListed || !m_backends.isListed) {
+        co_await pause(spanOfSeconds(secondsOf(AskInterval) * (0.75 + uniform(m_random) / 2)));
+        const TimePoint requestedAt = BootClock::now();
+        const auto reader = m_readers.whomToAsk(requestedAt);
+        if (!m_ask || !reader || !m_operator.isListed || !m_backends.isListed) {
             continue;
         }
-        const Endpoint reader = m_turn.endpointOf(*whom);
-        const auto news = co_await m_ask(reader, m_operator.next, m_backends.next);
-        if (!news) {
-            m_turn.doubt(*whom, BootClock::now());
-            LogEvent("reader_doubted").field("reader", reader.str());
+        const Endpoint endpoint = m_readers.endpointOf(*reader);
+        const auto updates = co_await m_ask(endpoint, m_operator.next, m_backends.next);
+        if (!updates) {
+            m_readers.doubt(*reader, BootClock::now());
+            LogEvent("reader_doubted").field("reader", endpoint.str());
             continue;
         }
-        if (isBehind(*news)) {
+        if (isBehind(*updates)) {
             // The reader answers but doesn't reach the store. All nodes that kept asking it would
             // have to read the store themselves.
-            m_turn.doubt(*whom, BootClock::now());
-            LogEvent("reader_behind").field("reader", reader.str());
+            m_readers.doubt(*reader, BootClock::now());
+            LogEvent("reader_behind").field("reader", endpoint.str());
         } else {
-            m_turn.answered(*whom);
+            m_readers.answered(*reader);
         }
-        take(*news, askedAt);
+        applyUpdates(*updates, requestedAt);
     }
 }
 
-bool StateFollower::isBehind(const SharedNews &news) const
+bool StateFollower::isBehind(const SharedNews &updates) const
 {
     const auto isOld = [](const std::optional<RecordRelay::News> &topic, Duration oldest) {
         return topic && topic->age >= oldest;
     };
-    return isOld(news.configuration, partOf(m_terms.apply, OldestSharedPart))
-           || isOld(news.backends, partOf(m_terms.drain, BackendsPart));
+    return isOld(updates.configuration, fractionOf(m_terms.apply, MaxPeerProofFraction))
+           || isOld(updates.backends, fractionOf(m_terms.drain, BackendsPollFraction));
 }
 
-void StateFollower::mustRead(Topic *topic, const std::optional<RecordRelay::News> &news,
-                             TimePoint askedAt)
+void StateFollower::mustRead(Topic *topic, const std::optional<RecordRelay::News> &updates,
+                             TimePoint requestedAt)
 {
     // A pending own call, or one that was answered after the request, covers the topic already.
-    if (!news && !topic->isReading && topic->provedAt < askedAt) {
+    if (!updates && !topic->isReading && topic->provedAt < requestedAt) {
         topic->mustRead = true;
     }
 }
 
-void StateFollower::take(const SharedNews &news, TimePoint askedAt)
+void StateFollower::applyUpdates(const SharedNews &updates, TimePoint requestedAt)
 {
-    mustRead(&m_operator, news.configuration, askedAt);
-    mustRead(&m_backends, news.backends, askedAt);
-    if (news.configuration && news.configuration->next >= m_operator.next) {
-        takeOperator(*news.configuration, askedAt);
+    mustRead(&m_operator, updates.configuration, requestedAt);
+    mustRead(&m_backends, updates.backends, requestedAt);
+    if (updates.configuration && updates.configuration->next >= m_operator.next) {
+        applyOperatorUpdates(*updates.configuration, requestedAt);
     }
-    if (news.backends && news.backends->next >= m_backends.next) {
-        for (const RecordRelay::Change &change : news.backends->changes) {
+    if (updates.backends && updates.backends->next >= m_backends.next) {
+        for (const RecordRelay::Change &change : updates.backends->changes) {
             if (change.offset >= m_backends.next) {
                 applyBackend(change.offset, change.record);
             }
         }
-        m_backends.next = news.backends->next;
+        m_backends.next = updates.backends->next;
         m_backends.relay.readUpTo(m_backends.next);
-        m_backends.provedAt = std::max(m_backends.provedAt, askedAt - news.backends->age);
+        m_backends.provedAt = std::max(m_backends.provedAt, requestedAt - updates.backends->age);
         m_backends.relay.proved(m_backends.provedAt);
     }
 }
 
-void StateFollower::takeOperator(const RecordRelay::News &news, TimePoint askedAt)
+void StateFollower::applyOperatorUpdates(const RecordRelay::News &updates, TimePoint requestedAt)
 {
     // All records written before the last proof were read, so these are younger.
     const Duration age = BootClock::now() - m_operator.provedAt;
-    for (const RecordRelay::Change &change : news.changes) {
+    for (const RecordRelay::Change &change : updates.changes) {
         if (change.offset < m_operator.next) {
             continue;
         }
@@ -256,14 +257,14 @@
         applyOperator(change.offset, *record, age, "peer");
         m_operator.next = change.offset + 1;
     }
-    knowOperatorUpTo(news.next);
-    proveOperator(askedAt - news.age);
+    setOperatorNext(updates.next);
+    renewOperatorProof(requestedAt - updates.age);
 }
 
-void StateFollower::proveOperator(TimePoint at)
+void StateFollower::renewOperatorProof(TimePoint at)
 {
     // While another node has read further, the store has left a record out of an answer.
-    if (at > m_operator.provedAt && m_operator.next >= m_heardNext) {
+    if (at > m_operator.provedAt && m_operator.next >= m_receivedNext) {
         m_operator.provedAt = at;
         m_operator.relay.proved(at);
         m_listener.configurationProved(at);
@@ -272,7 +273,7 @@
 
 asio::awaitable<void> StateFollower::followOperator()
 {
-    BackOff backOff(FailureSpans);
+    BackOff backOff(RetryIntervals);
     while (!m_stopped) {
         if (!m_operator.isListed) {
             m_operator.isListed = co_await listOperator();
@@ -281,9 +282,10 @@
             }
             continue;
         }
-        const bool isSettling = BootClock::now() - m_listedAt < partOf(m_terms.apply, SettlePart);
-        if (isSettling || isShared(m_operator, partOf(m_terms.apply, OldestSharedPart))) {
-            co_await pause(AskEvery / 4);
+        const bool isSettling =
+                BootClock::now() - m_listedAt < fractionOf(m_terms.apply, FreshListingFraction);
+        if (isSettling || isShared(m_operator, fractionOf(m_terms.apply, MaxPeerProofFraction))) {
+            co_await pause(AskInterval / 4);
             continue;
         }
         co_await readOperator(backOff);
@@ -303,21 +305,21 @@
     const auto age =
             hasProof ? std::optional(BootClock::now() - m_operator.provedAt) : std::nullopt;
     m_operator.relay.restartWithAll(newest->end);
-    knowOperatorUpTo(newest->end);
+    setOperatorNext(newest->end);
     for (const KeyedRecord &record : newest->items) {
         m_translator.applyOperator(record, age, m_listener);
         m_operator.relay.changed(record.offset, packRecord(m_translator.join(record)), record.key);
     }
     m_listedAt = sentAt;
-    proveOperator(sentAt);
+    renewOperatorProof(sentAt);
     co_return true;
 }
 
-Duration StateFollower::waitForOthers(TimePoint now) const
+Duration StateFollower::readerWait(TimePoint now) const
 {
     // After a change the last proof is as old as the call that returned the change. A whole wait on
     // top would make it so old that all asking nodes read the store themselves.
-    const Duration longest = std::min(partOf(m_terms.apply, WaitPartForOthers), OperatorWait);
+    const Duration longest = std::min(fractionOf(m_terms.apply, ReaderWaitFraction), OperatorWait);
     const Duration age = std::max(Duration::zero(), now - m_operator.provedAt);
     return std::max(longest - age, longest / 4);
 }
@@ -326,10 +328,10 @@
 {
     const TimePoint sentAt = BootClock::now();
     const std::uint64_t from = m_operator.next;
-    const Duration longest = readsForOthers() ? waitForOthers(sentAt) : OperatorWait;
-    const double part = ShortestWaitPart + (1 - ShortestWaitPart) * uniform(m_random);
-    const Duration wait = partOf(longest, part);
-    m_calls.count(StoreCall::Wait, StoreTopic::Operator, whyRead(m_operator));
+    const Duration longest = readsForOthers() ? readerWait(sentAt) : OperatorWait;
+    const double part = MinWaitFraction + (1 - MinWaitFraction) * uniform(m_random);
+    const Duration wait = fractionOf(longest, part);
+    m_calls.count(StoreCall::Wait, StoreTopic::Operator, readCause(m_operator));
     m_operator.isReading = true;
     const auto page = co_await m_store.read(StateTopic::Operator, from, wait);
     m_operator.isReading = false;
@@ -342,10 +344,11 @@
     }
     backOff.succeeded();
     m_operator.mustRead = false;
-    takeOperatorPage(*page, from, provedBy(*page, sentAt, wait, BootClock::now()));
+    applyOperatorPage(*page, from, proofTimeOf(*page, sentAt, wait, BootClock::now()));
 }
 
-void StateFollower::takeOperatorPage(const RecordPage &page, std::uint64_t from, TimePoint provedAt)
+void StateFollower::applyOperatorPage(const RecordPage &page, std::uint64_t from,
+                                      TimePoint provedAt)
 {
     // All records written before the last proof were read, so these are younger. No tighter bound
     // holds, even though the store usually answers promptly.
@@ -355,13 +358,13 @@
             applyOperator(from + i, page.records[i], age, "store");
         }
     }
-    knowOperatorUpTo(std::max(m_operator.next, from + page.records.size()));
+    setOperatorNext(std::max(m_operator.next, from + page.records.size()));
     if (m_operator.next >= page.end) {
-        proveOperator(provedAt);
+        renewOperatorProof(provedAt);
     }
 }
 
-void StateFollower::knowOperatorUpTo(std::uint64_t next)
+void StateFollower::setOperatorNext(std::uint64_t next)
 {
     m_operator.next = next;
     m_operator.relay.readUpTo(next);
@@ -370,10 +373,10 @@
 
 void StateFollower::heardOperatorNext(std::uint64_t next)
 {
-    if (next > m_refutedNext) {
-        m_heardNext = std::max(m_heardNext, next);
+    if (next > m_rejectedNext) {
+        m_receivedNext = std::max(m_receivedNext, next);
     }
-    if (m_heardNext > m_operator.next && m_operator.isReading && !m_isCatchingUp) {
+    if (m_receivedNext > m_operator.next && m_operator.isReading && !m_isCatchingUp) {
         asio::co_spawn(m_context, catchUp(), asio::detached);
     }
 }
@@ -381,9 +384,9 @@
 asio::awaitable<void> StateFollower::catchUp()
 {
     m_isCatchingUp = true;
-    co_await pause(PassedOverAfter);
-    if (m_operator.isListed && m_operator.isReading && m_operator.next < m_heardNext) {
-        const std::uint64_t heard = m_heardNext;
+    co_await pause(MissedCallAfter);
+    if (m_operator.isListed && m_operator.isReading && m_operator.next < m_receivedNext) {
+        const std::uint64_t heard = m_receivedNext;
         const std::uint64_t from = m_operator.next;
         const TimePoint sentAt = BootClock::now();
         LogEvent("operator_wait_passed_over").field("next", from).field("heard", heard);
@@ -393,11 +396,11 @@
             LogEvent("heard_offset_wrong", Severity::Error)
                     .field("heard", heard)
                     .field("end", page->end);
-            m_refutedNext = heard;
-            m_heardNext = 0;
+            m_rejectedNext = heard;
+            m_receivedNext = 0;
         }
         if (page) {
-            takeOperatorPage(*page, from, sentAt);
+            applyOperatorPage(*page, from, sentAt);
         }
     }
     m_isCatchingUp = false;
@@ -442,7 +445,7 @@
 
 asio::awaitable<void> StateFollower::followBackends()
 {
-    BackOff backOff(FailureSpans);
+    BackOff backOff(RetryIntervals);
     while (!m_stopped) {
         if (!m_backends.isListed) {
             m_backends.isListed = co_await listBackends();
@@ -451,14 +454,14 @@
             }
             continue;
         }
-        const Duration limit = partOf(m_terms.drain, BackendsPart);
+        const Duration limit = fractionOf(m_terms.drain, BackendsPollFraction);
         if (isShared(m_backends, limit)) {
-            co_await pause(AskEvery / 4);
+            co_await pause(AskInterval / 4);
             continue;
         }
-        const double part = readsForOthers() ? BackendsPartForOthers : BackendsPart;
+        const double part = readsForOthers() ? ReaderBackendsPollFraction : BackendsPollFraction;
         const Duration age = BootClock::now() - m_backends.provedAt;
-        const Duration rest = partOf(m_terms.drain, part) - age;
+        const Duration rest = fractionOf(m_terms.drain, part) - age;
         if (rest > Duration::zero()) {
             co_await pause(rest);
         }
@@ -470,7 +473,7 @@
 {
     const TimePoint sentAt = BootClock::now();
     const std::uint64_t from = m_backends.next;
-    m_calls.count(StoreCall::Read, StoreTopic::Backends, whyRead(m_backends));
+    m_calls.count(StoreCall::Read, StoreTopic::Backends, readCause(m_backends));
     m_backends.isReading = true;
     const auto page = co_await m_store.read(StateTopic::Backends, from, Duration::zero());
     m_backends.isReading = false;
@@ -516,19 +519,19 @@
                     co_await m_store.append(StateTopic::Nodes, std::move(here), std::nullopt);
             isRegistered = appended && appended->isAccepted;
         }
-        co_await pause(NodesPause);
+        co_await pause(NodesListDelay);
         m_calls.count(StoreCall::List, StoreTopic::Nodes, CallCause::Follow);
         const auto newest = co_await m_store.newest(StateTopic::Nodes);
         if (newest) {
             m_listener.nodesListed(endpointsOf(newest->items));
         }
         if (isRegistered && newest) {
-            co_await pause(NodesAgainPause);
+            co_await pause(NodesListInterval);
         }
     }
 }
 
-void StateFollower::knowFleetKey(std::string key) const
+void StateFollower::reportFleetKey(std::string key) const
 {
     if (fleetKeyKnown) {
         fleetKeyKnown(std::move(key));
@@ -538,12 +541,12 @@
 asio::awaitable<void> StateFollower::findFleetKey()
 {
     // The first node writes the key; the append of any later node is refused.
-    co_await pause(spanOfSeconds(secondsOf(KeySpread) * uniform(m_random)));
+    co_await pause(spanOfSeconds(secondsOf(FleetKeyStartSpread) * uniform(m_random)));
     while (!m_stopped) {
         m_calls.count(StoreCall::List, StoreTopic::FleetKey, CallCause::Start);
         const auto newest = co_await m_store.newest(StateTopic::FleetKey);
         if (newest && !newest->items.empty()) {
-            knowFleetKey(newest->items.front().value);
+            reportFleetKey(newest->items.front().value);
             co_return;
         }
         if (newest && newest->end == 0) {
@@ -554,12 +557,12 @@
             const auto appended =
                     co_await m_store.append(StateTopic::FleetKey, std::move(record), 0);
             if (appended && appended->isAccepted) {
-                knowFleetKey(std::move(key));
+                reportFleetKey(std::move(key));
                 co_return;
             }
             continue;
         }
-        co_await pause(KeyPause);
+        co_await pause(FleetKeyRetryDelay);
     }
 }
 
