--- a/include/vanilladyke/app/node_settings.hpp
+++ b/include/vanilladyke/app/node_settings.hpp
@@ -23,7 +23,7 @@
     ListenSettings listen;
     TrafficSettings traffic;
     ControlSettings control;
-    FollowTerms follow;
+    FollowLimits follow;
     Duration grace = std::chrono::seconds(8); ///< from SIGTERM until the process is killed
     std::string logLevel = "info";
 };
--- a/include/vanilladyke/node/load_sharing.hpp
+++ b/include/vanilladyke/node/load_sharing.hpp
@@ -40,9 +40,9 @@
     [[nodiscard]] std::optional<std::string> open();
     void setPeers(const std::vector<Endpoint> &peers);
     void setKey(std::string key) { m_port.setKey(std::move(key)); }
-    HeardNode heardNode = [](std::uint64_t, std::uint64_t, const Endpoint &) {};
+    HeardNode nodeSeen = [](std::uint64_t, std::uint64_t, const Endpoint &) {};
     /// @brief Another node has read the operator's records up to a higher offset than any before.
-    std::function<void(std::uint64_t)> heardOperatorNext = [](std::uint64_t) {};
+    std::function<void(std::uint64_t)> receivedOperatorNext = [](std::uint64_t) {};
     /// @brief Sends an update if one is due.
     void step(TimePoint now);
     /// @brief Sends an update at the next step, at most as often as placement updates: an engine
--- a/include/vanilladyke/node/peer_questions.hpp
+++ b/include/vanilladyke/node/peer_questions.hpp
@@ -26,7 +26,7 @@
     void setKey(std::string key) { m_port.setKey(std::move(key)); }
     /// @brief Requests updates from the offsets on.
     /// @return none if the peer doesn't answer within AnswerTime
-    [[nodiscard]] asio::awaitable<std::optional<SharedNews>>
+    [[nodiscard]] asio::awaitable<std::optional<SharedUpdates>>
     ask(Endpoint peer, std::uint64_t operatorNext, std::uint64_t backendsNext);
 
 private:
@@ -34,7 +34,7 @@
     struct Waiting
     {
         asio::steady_timer timer;
-        std::optional<SharedNews> news;
+        std::optional<SharedUpdates> news;
     };
 
     void take(std::string_view bytes, const Udp::endpoint &from);
--- a/include/vanilladyke/node/state_follower.hpp
+++ b/include/vanilladyke/node/state_follower.hpp
@@ -21,22 +21,22 @@
 
 /// @brief Records that another node has read from two offsets on; none of a topic: it can't send
 /// them.
-struct SharedNews
+struct SharedUpdates
 {
     std::optional<RecordRelay::News> configuration;
     std::optional<RecordRelay::News> backends;
 };
 
 /// @brief Requests updates from another node; none if it doesn't answer in time.
-using AskPeer = std::function<asio::awaitable<std::optional<SharedNews>>(
+using AskPeer = std::function<asio::awaitable<std::optional<SharedUpdates>>(
         Endpoint peer, std::uint64_t operatorNext, std::uint64_t backendsNext)>;
 
 /// @brief Time limits within which changes in the store have to take effect on this node.
-struct FollowTerms
+struct FollowLimits
 {
     Duration drain = std::chrono::milliseconds(2000); ///< removal of a draining server
     Duration apply = std::chrono::milliseconds(2000); ///< a change of the configuration
-    bool asksOthers = true; ///< whether to ask a node that reads the store for others
+    bool sharesStoreReads = true; ///< whether to ask a node that reads the store for others
 };
 
 /// @brief Follows the operator's records, the servers' entries and the list of nodes, from the
@@ -50,7 +50,7 @@
 {
 public:
     StateFollower(asio::io_context &context, RecordStore &store, const StateTranslator &translator,
-                  StateListener &listener, StoreCalls &calls, NodeIdentity self, FollowTerms terms,
+                  StateListener &listener, StoreCalls &calls, NodeIdentity self, FollowLimits terms,
                   std::uint64_t seed);
 
     void start();
@@ -58,10 +58,10 @@
     /// @brief Sets the function that asks other nodes; until then this node reads the store itself.
     void setAskPeer(AskPeer ask) { m_ask = std::move(ask); }
     /// @brief Another node was seen at @p endpoint, where it answers requests for updates.
-    void heardNode(std::uint64_t node, std::uint64_t dataCentre, const Endpoint &endpoint);
+    void nodeSeen(std::uint64_t node, std::uint64_t dataCentre, const Endpoint &endpoint);
     /// @brief Another node has read the operator's records up to this offset. If the store doesn't
     /// answer this node's waiting call soon, a second call reads them.
-    void heardOperatorNext(std::uint64_t next);
+    void receivedOperatorNext(std::uint64_t next);
     /// @brief The offset up to which this node has read the operator's records. Thread-safe.
     [[nodiscard]] std::uint64_t operatorNext() const { return m_operatorNext; }
     /// @brief This node's rank, from 0, among the standby nodes for tasks that one node does for
@@ -70,10 +70,10 @@
     /// @brief Number of other nodes that were seen recently.
     [[nodiscard]] std::size_t otherNodes() const { return m_readers.size(); }
     /// @brief The answer to a node that requests updates.
-    [[nodiscard]] SharedNews newsSince(std::uint64_t operatorNext,
-                                       std::uint64_t backendsNext) const;
+    [[nodiscard]] SharedUpdates updatesSince(std::uint64_t operatorNext,
+                                             std::uint64_t backendsNext) const;
     /// @brief Called once with the key that signs datagrams between nodes.
-    std::function<void(std::string key)> fleetKeyKnown;
+    std::function<void(std::string key)> onFleetKey;
 
 private:
     /// State of one followed topic.
@@ -113,13 +113,13 @@
     void applyOperatorPage(const RecordPage &page, std::uint64_t from, TimePoint provedAt);
     void setOperatorNext(std::uint64_t next);
     [[nodiscard]] asio::awaitable<void> catchUp();
-    void applyUpdates(const SharedNews &updates, TimePoint requestedAt);
+    void applyUpdates(const SharedUpdates &updates, TimePoint requestedAt);
     static void mustRead(Topic *topic, const std::optional<RecordRelay::News> &updates,
                          TimePoint requestedAt);
     /// How long a reader's call waits for the operator's next record.
     [[nodiscard]] Duration readerWait(TimePoint now) const;
     /// Whether another node's freshness proof is too old to replace an own call to the store.
-    [[nodiscard]] bool isBehind(const SharedNews &updates) const;
+    [[nodiscard]] bool isBehind(const SharedUpdates &updates) const;
     void reportFleetKey(std::string key) const;
     void applyOperatorUpdates(const RecordRelay::News &updates, TimePoint requestedAt);
 
@@ -129,7 +129,7 @@
     StateListener &m_listener;
     StoreCalls &m_calls;
     NodeIdentity m_self;
-    FollowTerms m_terms;
+    FollowLimits m_terms;
     Random m_random;
     ReadingTurn m_readers;
     AskPeer m_ask;
--- a/src/vanilladyke/app/mechanism_switches.cpp
+++ b/src/vanilladyke/app/mechanism_switches.cpp
@@ -80,7 +80,7 @@
         traffic.quarantines = false;
         break;
     case Mechanism::SharedReading:
-        settings->follow.asksOthers = false;
+        settings->follow.sharesStoreReads = false;
         break;
     }
 }
--- a/src/vanilladyke/app/mechanism_switches_test.cpp
+++ b/src/vanilladyke/app/mechanism_switches_test.cpp
@@ -18,7 +18,7 @@
     ASSERT_TRUE(settings);
     EXPECT_TRUE(settings->traffic.rates.countsOthersLoad);
     EXPECT_TRUE(settings->traffic.rates.believesPlacements);
-    EXPECT_TRUE(settings->follow.asksOthers);
+    EXPECT_TRUE(settings->follow.sharesStoreReads);
 }
 
 TEST(MechanismSwitches, EachNameIsTaken)
@@ -44,7 +44,7 @@
             parseNodeSettings(settingsWith(R"(, "off": ["copy_charge", "shared_reading"])"));
     ASSERT_TRUE(settings);
     EXPECT_EQ(settings->traffic.rates.copyReads, 0);
-    EXPECT_FALSE(settings->follow.asksOthers);
+    EXPECT_FALSE(settings->follow.sharesStoreReads);
 }
 
 } // namespace
--- a/src/vanilladyke/app/node_command.cpp
+++ b/src/vanilladyke/app/node_command.cpp
@@ -130,20 +130,20 @@
             m_sharing.setPeers(peers);
         };
         m_traffic.tellPeers = [this] { m_sharing.tellSoon(); };
-        m_sharing.heardNode = [this](std::uint64_t node, std::uint64_t centre, Endpoint endpoint) {
+        m_sharing.nodeSeen = [this](std::uint64_t node, std::uint64_t centre, Endpoint endpoint) {
             asio::post(m_controlContext, [this, node, centre, endpoint = std::move(endpoint)] {
-                m_follower.heardNode(node, centre, endpoint);
+                m_follower.nodeSeen(node, centre, endpoint);
             });
         };
-        m_sharing.heardOperatorNext = [this](std::uint64_t next) {
-            asio::post(m_controlContext, [this, next] { m_follower.heardOperatorNext(next); });
+        m_sharing.receivedOperatorNext = [this](std::uint64_t next) {
+            asio::post(m_controlContext, [this, next] { m_follower.receivedOperatorNext(next); });
         };
         m_control.standbyRank = [this] { return m_follower.standbyRank(); };
         m_control.otherNodes = [this] { return m_follower.otherNodes(); };
-        m_follower.fleetKeyKnown = [this](const std::string &key) {
+        m_follower.onFleetKey = [this](const std::string &key) {
             LogEvent("fleet_key_known").field("bytes", key.size());
             m_questions.setKey(key);
-            if (m_settings.follow.asksOthers) {
+            if (m_settings.follow.sharesStoreReads) {
                 m_follower.setAskPeer([this](Endpoint peer, std::uint64_t operatorNext,
                                              std::uint64_t backendsNext) {
                     return m_questions.ask(std::move(peer), operatorNext, backendsNext);
--- a/src/vanilladyke/node/load_sharing.cpp
+++ b/src/vanilladyke/node/load_sharing.cpp
@@ -262,13 +262,13 @@
     }
     if (message.questions_port() != 0 && now >= heard.passedOnAt + PassOnEvery) {
         heard.passedOnAt = now;
-        heardNode(message.node(), message.data_centre(),
-                  {origin->address().to_string(),
-                   static_cast<std::uint16_t>(message.questions_port())});
+        nodeSeen(message.node(), message.data_centre(),
+                 {origin->address().to_string(),
+                  static_cast<std::uint16_t>(message.questions_port())});
     }
     if (message.operator_next() > m_heardOperatorNext) {
         m_heardOperatorNext = message.operator_next();
-        heardOperatorNext(m_heardOperatorNext);
+        receivedOperatorNext(m_heardOperatorNext);
     }
     for (const wire::NamedWeights &each : message.named_weights()) {
         m_state.dateWeights(read(each, now), DateGrounds::Told, "peer");
--- a/src/vanilladyke/node/peer_questions.cpp
+++ b/src/vanilladyke/node/peer_questions.cpp
@@ -52,7 +52,7 @@
             [this](std::string_view bytes, const Udp::endpoint &from) { take(bytes, from); });
 }
 
-asio::awaitable<std::optional<SharedNews>>
+asio::awaitable<std::optional<SharedUpdates>>
 PeerQuestions::ask(Endpoint peer, std::uint64_t operatorNext, std::uint64_t backendsNext)
 {
     const auto to = SealedPort::addressOf(peer);
@@ -81,8 +81,8 @@
         return;
     }
     if (message.has_ask()) {
-        const SharedNews news =
-                m_follower.newsSince(message.ask().operator_next(), message.ask().backends_next());
+        const SharedUpdates news = m_follower.updatesSince(message.ask().operator_next(),
+                                                           message.ask().backends_next());
         wire::NodeMessage answer;
         answer.set_question(message.question());
         write(news.configuration, answer.mutable_news()->mutable_configuration());
@@ -92,8 +92,8 @@
     }
     const auto waiting = m_waiting.find(message.question());
     if (message.has_news() && waiting != m_waiting.end()) {
-        waiting->second->news =
-                SharedNews{read(message.news().configuration()), read(message.news().backends())};
+        waiting->second->news = SharedUpdates{read(message.news().configuration()),
+                                              read(message.news().backends())};
         waiting->second->timer.cancel();
     }
 }
--- a/src/vanilladyke/node/state_follower.cpp
+++ b/src/vanilladyke/node/state_follower.cpp
@@ -90,7 +90,7 @@
 
 StateFollower::StateFollower(asio::io_context &context, RecordStore &store,
                              const StateTranslator &translator, StateListener &listener,
-                             StoreCalls &calls, NodeIdentity self, FollowTerms terms,
+                             StoreCalls &calls, NodeIdentity self, FollowLimits terms,
                              std::uint64_t seed)
     : m_context(context)
     , m_store(store)
@@ -112,8 +112,7 @@
     asio::co_spawn(m_context, followReader(), asio::detached);
 }
 
-void StateFollower::heardNode(std::uint64_t node, std::uint64_t dataCentre,
-                              const Endpoint &endpoint)
+void StateFollower::nodeSeen(std::uint64_t node, std::uint64_t dataCentre, const Endpoint &endpoint)
 {
     m_readers.heard(node, dataCentre, endpoint, BootClock::now());
 }
@@ -124,7 +123,8 @@
     return rank < StandbyNodes ? std::optional(rank) : std::nullopt;
 }
 
-SharedNews StateFollower::newsSince(std::uint64_t operatorNext, std::uint64_t backendsNext) const
+SharedUpdates StateFollower::updatesSince(std::uint64_t operatorNext,
+                                          std::uint64_t backendsNext) const
 {
     const TimePoint now = BootClock::now();
     return {m_operator.relay.since(operatorNext, MaxSharedBytes, now),
@@ -200,7 +200,7 @@
     }
 }
 
-bool StateFollower::isBehind(const SharedNews &updates) const
+bool StateFollower::isBehind(const SharedUpdates &updates) const
 {
     const auto isOld = [](const std::optional<RecordRelay::News> &topic, Duration oldest) {
         return topic && topic->age >= oldest;
@@ -218,7 +218,7 @@
     }
 }
 
-void StateFollower::applyUpdates(const SharedNews &updates, TimePoint requestedAt)
+void StateFollower::applyUpdates(const SharedUpdates &updates, TimePoint requestedAt)
 {
     mustRead(&m_operator, updates.configuration, requestedAt);
     mustRead(&m_backends, updates.backends, requestedAt);
@@ -371,7 +371,7 @@
     m_operatorNext = next;
 }
 
-void StateFollower::heardOperatorNext(std::uint64_t next)
+void StateFollower::receivedOperatorNext(std::uint64_t next)
 {
     if (next > m_rejectedNext) {
         m_receivedNext = std::max(m_receivedNext, next);
@@ -533,8 +533,8 @@
 
 void StateFollower::reportFleetKey(std::string key) const
 {
-    if (fleetKeyKnown) {
-        fleetKeyKnown(std::move(key));
+    if (onFleetKey) {
+        onFleetKey(std::move(key));
     }
 }
 
--- a/src/vanilladyke/node/state_follower_test.cpp
+++ b/src/vanilladyke/node/state_follower_test.cpp
@@ -165,7 +165,7 @@
 class StateFollowerTest : public ::testing::Test
 {
 protected:
-    static constexpr FollowTerms Terms{milliseconds(2000), milliseconds(1000)};
+    static constexpr FollowLimits Terms{milliseconds(2000), milliseconds(1000)};
 
     StateFollowerTest()
         : m_store(m_context)
@@ -187,14 +187,14 @@
         m_asking.start();
         hear();
         m_asking.setAskPeer(
-                [this](Endpoint peer, std::uint64_t operatorNext,
-                       std::uint64_t backendsNext) -> asio::awaitable<std::optional<SharedNews>> {
+                [this](Endpoint peer, std::uint64_t operatorNext, std::uint64_t backendsNext)
+                        -> asio::awaitable<std::optional<SharedUpdates>> {
                     m_asked.push_back(peer.port);
                     if (!m_answers) {
                         co_return std::nullopt;
                     }
                     ++m_answered;
-                    SharedNews news = m_reader.newsSince(operatorNext, backendsNext);
+                    SharedUpdates news = m_reader.updatesSince(operatorNext, backendsNext);
                     if (!m_tellsConfiguration) {
                         news.configuration.reset();
                     }
@@ -206,7 +206,7 @@
     void hear()
     {
         for (std::uint64_t node = 10; node < 50; ++node) {
-            m_asking.heardNode(node, Centre, {"127.0.0.1", static_cast<std::uint16_t>(node)});
+            m_asking.nodeSeen(node, Centre, {"127.0.0.1", static_cast<std::uint16_t>(node)});
         }
     }
 
@@ -394,7 +394,7 @@
     m_reader.start();
     ASSERT_TRUE(reach([this] { return m_store.waiting > 0; }));
     m_store.topics[StateTopic::Operator].push_back("version=2");
-    m_reader.heardOperatorNext(1);
+    m_reader.receivedOperatorNext(1);
     ASSERT_TRUE(reach([this] { return m_readerListener.named > 0; }));
     EXPECT_GT(m_store.waiting, 0) << "the missed call still waits";
     EXPECT_EQ(m_reader.operatorNext(), 1U);
@@ -409,7 +409,7 @@
     m_reader.start();
     ASSERT_TRUE(reach([this] { return m_store.waiting > 0; }));
     m_store.topics[StateTopic::Operator].push_back("key taken away");
-    m_reader.heardOperatorNext(1);
+    m_reader.receivedOperatorNext(1);
     const TimePoint heardAt = BootClock::now();
     const int calls = m_store.calls;
     ASSERT_TRUE(reach([&] { return m_store.calls > calls + 4; }));
@@ -424,7 +424,7 @@
 {
     m_reader.start();
     ASSERT_TRUE(reach([this] { return m_store.waiting > 0; }));
-    m_reader.heardOperatorNext(1000);
+    m_reader.receivedOperatorNext(1000);
     const TimePoint heardAt = BootClock::now();
     EXPECT_TRUE(reach([&] { return m_readerListener.provedAt > heardAt; }));
 }
