--- a/include/vanilladyke/node/control_plane.hpp
+++ b/include/vanilladyke/node/control_plane.hpp
@@ -18,10 +18,10 @@
 };
 
 /// @brief Time of the configuration's last freshness proof; shared by both threads.
-class ProofOfAge
+class FreshnessProof
 {
 public:
-    void prove(TimePoint at);
+    void renew(TimePoint at);
     /// @return the age of the last proof; Duration::max() without one
     [[nodiscard]] Duration age() const;
 
@@ -46,7 +46,7 @@
     std::function<std::size_t()> otherNodes = [] { return std::size_t{0}; };
     /// @brief Stops sending orders and releases the lease, before the node stops.
     void handOver();
-    [[nodiscard]] const ProofOfAge &proof() const { return m_proof; }
+    [[nodiscard]] const FreshnessProof &proof() const { return m_proof; }
     /// @brief Counter of all store calls of the control thread.
     [[nodiscard]] StoreCalls &storeCalls() { return m_calls; }
 
@@ -68,9 +68,9 @@
     /// Posted, so that a page of a thousand entries is published once.
     void publishBackends();
     void publishNow();
-    [[nodiscard]] WeightsCallbacks newsForTraffic();
+    [[nodiscard]] WeightsCallbacks weightsCallbacks();
     template <typename Change>
-    void tell(Change change)
+    void postToTraffic(Change change)
     {
         asio::post(m_traffic.context, [this, change = std::move(change)] { change(m_traffic); });
     }
@@ -83,7 +83,7 @@
     BackendRoster m_roster;
     WeightsController m_weights;
     KeptCacheFollower &m_keptCache;
-    ProofOfAge m_proof;
+    FreshnessProof m_proof;
     asio::steady_timer m_timer;
     std::uint64_t m_version = 0;
     bool m_hasConfig = false;
--- a/src/vanilladyke/node/control_plane.cpp
+++ b/src/vanilladyke/node/control_plane.cpp
@@ -7,18 +7,19 @@
 
 namespace {
 
-/// Step interval while a rollout is pending. Without one, IdleStep is enough to expire entries.
-constexpr Duration BusyStep = std::chrono::milliseconds(50);
-constexpr Duration IdleStep = std::chrono::milliseconds(250);
+/// Step interval while a rollout is pending. Without one, IdleStepInterval is enough to expire
+/// entries.
+constexpr Duration RolloutStepInterval = std::chrono::milliseconds(50);
+constexpr Duration IdleStepInterval = std::chrono::milliseconds(250);
 
 } // namespace
 
-void ProofOfAge::prove(TimePoint at)
+void FreshnessProof::renew(TimePoint at)
 {
     m_provedAt = at.time_since_epoch().count();
 }
 
-Duration ProofOfAge::age() const
+Duration FreshnessProof::age() const
 {
     const Duration::rep at = m_provedAt;
     return at == Never ? Duration::max() : BootClock::now().time_since_epoch() - Duration(at);
@@ -32,35 +33,35 @@
     , m_settings(std::move(settings))
     , m_random(seed)
     , m_calls(m_traffic.metrics)
-    , m_weights(m_settings.self, seed, m_settings.lease, m_roster, log, orders, newsForTraffic(),
+    , m_weights(m_settings.self, seed, m_settings.lease, m_roster, log, orders, weightsCallbacks(),
                 m_calls, &BootClock::now, m_settings.rollout, m_random)
     , m_keptCache(keptCache)
     , m_timer(context)
 {}
 
-WeightsCallbacks ControlPlane::newsForTraffic()
+WeightsCallbacks ControlPlane::weightsCallbacks()
 {
-    WeightsCallbacks news;
-    news.loading = [this](const EngineId &id, Duration span) {
-        tell([id, span](TrafficState &traffic) {
+    WeightsCallbacks callbacks;
+    callbacks.loading = [this](const EngineId &id, Duration span) {
+        postToTraffic([id, span](TrafficState &traffic) {
             traffic.book.loading(id, MonotonicClock::now() + span);
             traffic.tellPeers();
         });
     };
-    news.loaded = [this](const EngineId &id, const ModelId &model, std::uint64_t version) {
-        tell([id, model, version](TrafficState &traffic) {
+    callbacks.loaded = [this](const EngineId &id, const ModelId &model, std::uint64_t version) {
+        postToTraffic([id, model, version](TrafficState &traffic) {
             traffic.book.loaded(id, model, version, MonotonicClock::now());
             traffic.tellPeers();
         });
     };
-    news.receivedEarlier = [this](const WeightsAge &weights) {
+    callbacks.receivedEarlier = [this](const WeightsAge &weights) {
         const TimePoint knownAt = MonotonicClock::now() - weights.age;
         const NamedWeights named{weights.model, {weights.version, knownAt, knownAt}};
-        tell([named](TrafficState &traffic) {
+        postToTraffic([named](TrafficState &traffic) {
             traffic.dateWeights(named, DateGrounds::Told, "lease");
         });
     };
-    return news;
+    return callbacks;
 }
 
 void ControlPlane::start()
@@ -75,7 +76,7 @@
 
 void ControlPlane::schedule()
 {
-    m_timer.expires_after(m_weights.isPending() ? BusyStep : IdleStep);
+    m_timer.expires_after(m_weights.isPending() ? RolloutStepInterval : IdleStepInterval);
     m_timer.async_wait([this](const ErrorCode &error) {
         if (!error) {
             step();
@@ -109,7 +110,7 @@
             .field("services", config.services.size())
             .field("customers", config.customers.size());
     auto table = std::make_shared<const RouteTable>(std::move(config));
-    tell([table](TrafficState &traffic) {
+    postToTraffic([table](TrafficState &traffic) {
         traffic.table = table;
         traffic.book.setTransferRates(table->transferRates());
         traffic.kept.setStores(table->keptStores());
@@ -129,7 +130,7 @@
     const TimePoint now = MonotonicClock::now();
     if (age) {
         const NamedWeights named{model, {version, now - *age, now}};
-        tell([named](TrafficState &traffic) {
+        postToTraffic([named](TrafficState &traffic) {
             traffic.dateWeights(named, DateGrounds::Read, "record");
         });
         return;
@@ -137,9 +138,9 @@
     // A node that has just started has no bound on the age. It assumes half of the time for which
     // older weights may be used: that neither excludes all engines on older weights at once nor
     // keeps them available too long.
-    const TimePoint guess = now - m_traffic.settings.rates.weightsTime / 2;
-    const NamedWeights named{model, {version, guess, guess}};
-    tell([named](TrafficState &traffic) {
+    const TimePoint estimate = now - m_traffic.settings.rates.weightsTime / 2;
+    const NamedWeights named{model, {version, estimate, estimate}};
+    postToTraffic([named](TrafficState &traffic) {
         traffic.dateWeights(named, DateGrounds::Guess, "guess");
     });
 }
@@ -148,22 +149,22 @@
 {
     const EngineId id = entry.id;
     const bool isDraining = entry.isDraining;
-    const bool isNews = m_roster.put(std::move(entry), BootClock::now());
-    if (isNews) {
+    const bool isChanged = m_roster.put(std::move(entry), BootClock::now());
+    if (isChanged) {
         LogEvent("backend_changed")
                 .field("backend", id.str())
                 .field("draining", isDraining)
                 .field("known", m_roster.size());
         publishBackends();
     }
-    return isNews;
+    return isChanged;
 }
 
 void ControlPlane::backendRemoved(const EngineId &id)
 {
-    const bool isOut = m_roster.remove(id, BootClock::now());
-    LogEvent("backend_gone").field("backend", id.str()).field("at_once", isOut);
-    if (isOut) {
+    const bool isRemoved = m_roster.remove(id, BootClock::now());
+    LogEvent("backend_gone").field("backend", id.str()).field("at_once", isRemoved);
+    if (isRemoved) {
         publishBackends();
     }
 }
@@ -181,7 +182,7 @@
         m_storeIsDown = false;
         LogEvent("store_regained").field("proof_age_ms", m_proof.age());
     }
-    m_proof.prove(sentAt);
+    m_proof.renew(sentAt);
 }
 
 void ControlPlane::storeFailed()
@@ -197,7 +198,7 @@
 {
     SecondSendTerms terms = m_settings.secondSends;
     terms.nodes = std::max<std::size_t>(peers.size(), 1);
-    tell([terms, peers = std::move(peers)](TrafficState &traffic) {
+    postToTraffic([terms, peers = std::move(peers)](TrafficState &traffic) {
         traffic.nodes = terms.nodes;
         traffic.budget.setTerms(terms);
         if (traffic.peersChanged) {
@@ -208,12 +209,12 @@
 
 void ControlPlane::keptCacheReset(const Endpoint &store, KeptCacheState state)
 {
-    tell([store, state](TrafficState &traffic) { traffic.kept.reset(store, state); });
+    postToTraffic([store, state](TrafficState &traffic) { traffic.kept.reset(store, state); });
 }
 
 void ControlPlane::keptCacheChanged(const Endpoint &store, std::vector<KeptPart> parts)
 {
-    tell([store, parts = std::move(parts)](TrafficState &traffic) {
+    postToTraffic([store, parts = std::move(parts)](TrafficState &traffic) {
         for (const KeptPart &each : parts) {
             traffic.kept.changed(store, each.salt, each.part, each.tokens);
         }
@@ -234,7 +235,7 @@
 
 void ControlPlane::publishNow()
 {
-    tell([serving = m_roster.serving()](TrafficState &traffic) {
+    postToTraffic([serving = m_roster.serving()](TrafficState &traffic) {
         traffic.book.setBackends(serving);
         traffic.pool.tidy([&](const EngineId &id) { return traffic.book.knows(id); },
                           MonotonicClock::now());
