--- a/include/vanilladyke/node/control_plane.hpp
+++ b/include/vanilladyke/node/control_plane.hpp
@@ -14,7 +14,7 @@
     std::string self; ///< host name; identifies the holder of the lease
     LeaseTerms lease;
     RolloutTerms rollout;
-    SecondSendTerms secondSends; ///< the number of nodes is filled in once listed
+    SecondSendTerms fleetRetries; ///< the number of nodes is filled in once listed
 };
 
 /// @brief Time of the configuration's last freshness proof; shared by both threads.
@@ -45,7 +45,7 @@
     /// @brief Number of other nodes that were seen recently.
     std::function<std::size_t()> otherNodes = [] { return std::size_t{0}; };
     /// @brief Stops sending orders and releases the lease, before the node stops.
-    void handOver();
+    void releaseLease();
     [[nodiscard]] const FreshnessProof &proof() const { return m_proof; }
     /// @brief Counter of all store calls of the control thread.
     [[nodiscard]] StoreCalls &storeCalls() { return m_calls; }
--- a/src/vanilladyke/app/node_command.cpp
+++ b/src/vanilladyke/app/node_command.cpp
@@ -70,7 +70,7 @@
     {
         m_traffic.configAge = [this] { return m_control.proof().age(); };
         m_traffic.operatorNext = [this] { return m_follower.operatorNext(); };
-        SecondSendTerms terms = settings.control.secondSends;
+        SecondSendTerms terms = settings.control.fleetRetries;
         terms.nodes = NodesBeforeTheList;
         m_traffic.nodes = NodesBeforeTheList;
         m_traffic.budget.setTerms(terms);
@@ -161,7 +161,7 @@
         LogEvent("stopping").field("signal", signal).field("open", m_traffic.openExchanges->size());
         m_stopAt = MonotonicClock::now();
         m_server.announceStop();
-        asio::post(m_controlContext, [this] { m_control.handOver(); });
+        asio::post(m_controlContext, [this] { m_control.releaseLease(); });
         stepStop();
     }
 
@@ -195,7 +195,7 @@
         m_traffic.settings.keysValidFor = settings->traffic.keysValidFor;
         m_traffic.settings.failsClosed = settings->traffic.failsClosed;
         m_traffic.quarantine.setFreed(settings->traffic.freedRequests);
-        SecondSendTerms terms = settings->control.secondSends;
+        SecondSendTerms terms = settings->control.fleetRetries;
         terms.nodes = m_traffic.nodes;
         m_traffic.budget.setTerms(terms);
         LogEvent("reload").field("path", m_path).field("needs_start", needsStart);
--- a/src/vanilladyke/app/node_settings.cpp
+++ b/src/vanilladyke/app/node_settings.cpp
@@ -149,7 +149,7 @@
     reader.milliseconds("grace_ms", &settings.grace, LeastSpan, LongestSpan);
     if (reader.has("second_sends")) {
         reader.object("second_sends", [&settings](JsonReader &inner) {
-            readSecondSends(inner, &settings.control.secondSends);
+            readSecondSends(inner, &settings.control.fleetRetries);
         });
     }
     if (reader.has("placement")) {
--- a/src/vanilladyke/node/control_plane.cpp
+++ b/src/vanilladyke/node/control_plane.cpp
@@ -69,7 +69,7 @@
     schedule();
 }
 
-void ControlPlane::handOver()
+void ControlPlane::releaseLease()
 {
     m_weights.stop();
 }
@@ -196,7 +196,7 @@
 
 void ControlPlane::nodesListed(std::vector<Endpoint> peers)
 {
-    SecondSendTerms terms = m_settings.secondSends;
+    SecondSendTerms terms = m_settings.fleetRetries;
     terms.nodes = std::max<std::size_t>(peers.size(), 1);
     postToTraffic([terms, peers = std::move(peers)](TrafficState &traffic) {
         traffic.nodes = terms.nodes;
