--- a/include/vanilladyke/node/load_sharing.hpp
+++ b/include/vanilladyke/node/load_sharing.hpp
@@ -27,11 +27,11 @@
     static constexpr std::size_t NodesAtFullRate = 9;
     /// Upper bound for urgent updates: placements and changed engine states are sent at once, as
     /// for a prompt with a prefill time of 100 ms.
-    static constexpr std::int64_t MostSendsPerSecond = 900;
+    static constexpr std::int64_t MaxSendsPerSecond = 900;
 
     /// @brief A node was seen: hashes of its name and data centre, and the endpoint where it
     /// answers requests for updates.
-    using HeardNode = std::function<void(std::uint64_t, std::uint64_t, Endpoint)>;
+    using NodeSeen = std::function<void(std::uint64_t, std::uint64_t, Endpoint)>;
 
     /// @param questionsPort port on which this node answers requests of other nodes
     LoadSharing(TrafficState &state, Endpoint listen, std::uint16_t questionsPort);
@@ -40,36 +40,36 @@
     [[nodiscard]] std::optional<std::string> open();
     void setPeers(const std::vector<Endpoint> &peers);
     void setKey(std::string key) { m_port.setKey(std::move(key)); }
-    HeardNode nodeSeen = [](std::uint64_t, std::uint64_t, const Endpoint &) {};
+    NodeSeen nodeSeen = [](std::uint64_t, std::uint64_t, const Endpoint &) {};
     /// @brief Another node has read the operator's records up to a higher offset than any before.
     std::function<void(std::uint64_t)> receivedOperatorNext = [](std::uint64_t) {};
     /// @brief Sends an update if one is due.
     void step(TimePoint now);
     /// @brief Sends an update at the next step, at most as often as placement updates: an engine
     /// state that changes many times a second must not saturate the link and CPU of a small host.
-    void tellSoon() { m_hasUrgentNews = true; }
+    void tellSoon() { m_hasUrgentUpdate = true; }
     /// @brief Sends an update now.
-    void tell(TimePoint now);
+    void sendUpdate(TimePoint now);
 
 private:
     using Udp = SealedPort::Udp;
     /// A node from which an update was received.
-    struct Heard
+    struct Peer
     {
         std::uint64_t sequence = 0; ///< of the newest update
         TimePoint at;
-        TimePoint passedOnAt; ///< last reported to the control thread
+        TimePoint reportedAt; ///< last reported to the control thread
     };
     /// A node without an update for this long is dropped.
-    static constexpr Duration HeardLife = std::chrono::minutes(1);
+    static constexpr Duration PeerExpiry = std::chrono::minutes(1);
 
-    void take(std::string_view bytes, const Udp::endpoint &from);
-    void forgetSilent(TimePoint now);
+    void receive(std::string_view bytes, const Udp::endpoint &from);
+    void dropExpired(TimePoint now);
     /// Counts nodes that are not in the list too, since they share the fleet's limits.
     void countPeers();
-    void passOn(wire::NodeLoad message);
-    void takeLimits(const wire::NodeLoad &message, TimePoint now);
-    void takeQuarantined(const wire::NodeLoad &message, TimePoint now);
+    void forward(wire::NodeLoad message);
+    void applyLimits(const wire::NodeLoad &message, TimePoint now);
+    void applyQuarantined(const wire::NodeLoad &message, TimePoint now);
 
     TrafficState &m_state;
     SealedPort m_port;
@@ -78,12 +78,12 @@
     std::uint64_t m_dataCentre; ///< hash of its name
     std::uint64_t m_sequence; ///< starts at the wall-clock time, so that a restart continues above
     NewsRoutes<Udp::endpoint> m_routes;
-    std::unordered_map<std::uint64_t, Heard> m_heard;
+    std::unordered_map<std::uint64_t, Peer> m_peers;
     TimePoint m_nextAt;
-    TimePoint m_toldAt;
-    TimePoint m_weightsToldAt;
-    std::uint64_t m_heardOperatorNext = 0;
-    bool m_hasUrgentNews = false;
+    TimePoint m_sentAt;
+    TimePoint m_weightsSentAt;
+    std::uint64_t m_highestOperatorNext = 0;
+    bool m_hasUrgentUpdate = false;
 };
 
 } // namespace vanilladyke
--- a/src/vanilladyke/node/load_sharing.cpp
+++ b/src/vanilladyke/node/load_sharing.cpp
@@ -12,26 +12,26 @@
 namespace {
 
 /// Most servers in one datagram; with more, the busiest are sent.
-constexpr std::size_t MostBackends = 1000;
+constexpr std::size_t MaxBackends = 1000;
 
 /// Most quarantine updates (requests during which engines terminated) in one datagram.
-constexpr std::size_t MostQuarantined = 40;
+constexpr std::size_t MaxQuarantined = 40;
 
 /// Most engines with rate limits in one datagram.
-constexpr std::size_t MostLimits = 200;
+constexpr std::size_t MaxLimits = 200;
 
 /// A node whose freshness proof of the configuration is older answers no requests of other nodes.
-constexpr Duration OldestProof = std::chrono::milliseconds(3500);
+constexpr Duration MaxProofAge = std::chrono::milliseconds(3500);
 
 /// Announced weights change a few times a minute. A starting node receives them within this time,
 /// or within twice this time if a datagram is lost.
-constexpr Duration TellWeightsEvery = std::chrono::milliseconds(400);
+constexpr Duration WeightsInterval = std::chrono::milliseconds(400);
 
 /// Cap of the ages that are sent; no decision depends on higher ones.
-constexpr Duration OldestTold = std::chrono::hours(24);
+constexpr Duration MaxSentAge = std::chrono::hours(24);
 
 /// Interval at which a live node is reported to the control thread.
-constexpr Duration PassOnEvery = std::chrono::seconds(1);
+constexpr Duration ReportInterval = std::chrono::seconds(1);
 
 std::uint32_t millis(Duration span)
 {
@@ -44,8 +44,8 @@
     out->set_model(weights.model.str());
     out->set_version(weights.date.version);
     // Rounded up, so that the receiver's deadline isn't later than this node's.
-    out->set_named_age_ms(millis(std::min(now - weights.date.namedAfter, OldestTold)) + 1);
-    out->set_known_age_ms(millis(std::min(now - weights.date.knownAt, OldestTold)));
+    out->set_named_age_ms(millis(std::min(now - weights.date.namedAfter, MaxSentAge)) + 1);
+    out->set_known_age_ms(millis(std::min(now - weights.date.knownAt, MaxSentAge)));
 }
 
 NamedWeights read(const wire::NamedWeights &weights, TimePoint now)
@@ -55,14 +55,14 @@
              now - std::chrono::milliseconds(weights.known_age_ms())}};
 }
 
-void write(const QuarantineNews &news, wire::QuarantinedRequest *request)
+void write(const QuarantineNews &update, wire::QuarantinedRequest *request)
 {
-    request->set_digest_high(news.digest.high);
-    request->set_digest_low(news.digest.low);
-    request->set_customer(news.customer);
-    request->set_is_answered(news.answeredAge.has_value());
-    request->set_answered_age_ms(millis(news.answeredAge.value_or(Duration::zero())));
-    for (const QuarantineNews::End &end : news.ends) {
+    request->set_digest_high(update.digest.high);
+    request->set_digest_low(update.digest.low);
+    request->set_customer(update.customer);
+    request->set_is_answered(update.answeredAge.has_value());
+    request->set_answered_age_ms(millis(update.answeredAge.value_or(Duration::zero())));
+    for (const QuarantineNews::End &end : update.ends) {
         wire::QuarantinedRequest::End *each = request->add_ends();
         each->set_engine(end.engine);
         each->set_age_ms(millis(end.age));
@@ -70,41 +70,41 @@
     }
 }
 
-void write(const LimitNews &news, wire::BackendLimit *limit)
+void write(const LimitNews &update, wire::BackendLimit *limit)
 {
-    limit->set_backend(news.backend);
-    limit->set_is_observed(news.isObserved);
-    limit->set_is_named(news.perSecond.has_value());
-    limit->set_per_second(news.perSecond.value_or(0));
-    limit->set_age_ms(millis(news.age));
-    limit->set_sent(news.sent);
+    limit->set_backend(update.backend);
+    limit->set_is_observed(update.isObserved);
+    limit->set_is_named(update.perSecond.has_value());
+    limit->set_per_second(update.perSecond.value_or(0));
+    limit->set_age_ms(millis(update.age));
+    limit->set_sent(update.sent);
 }
 
 LimitNews read(const wire::BackendLimit &limit)
 {
-    LimitNews news;
-    news.backend = limit.backend();
-    news.isObserved = limit.is_observed();
+    LimitNews update;
+    update.backend = limit.backend();
+    update.isObserved = limit.is_observed();
     if (limit.is_named()) {
-        news.perSecond = limit.per_second();
+        update.perSecond = limit.per_second();
     }
-    news.age = std::chrono::milliseconds(limit.age_ms());
-    news.sent = limit.sent();
-    return news;
+    update.age = std::chrono::milliseconds(limit.age_ms());
+    update.sent = limit.sent();
+    return update;
 }
 
 QuarantineNews read(const wire::QuarantinedRequest &request)
 {
-    QuarantineNews news{
+    QuarantineNews update{
             {request.digest_high(), request.digest_low()}, request.customer(), std::nullopt, {}};
     if (request.is_answered()) {
-        news.answeredAge = std::chrono::milliseconds(request.answered_age_ms());
+        update.answeredAge = std::chrono::milliseconds(request.answered_age_ms());
     }
     for (const wire::QuarantinedRequest::End &end : request.ends()) {
-        news.ends.push_back(
+        update.ends.push_back(
                 {end.engine(), std::chrono::milliseconds(end.age_ms()), end.had_just_begun()});
     }
-    return news;
+    return update;
 }
 
 } // namespace
@@ -123,7 +123,7 @@
 std::optional<std::string> LoadSharing::open()
 {
     return m_port.open(
-            [this](std::string_view bytes, const Udp::endpoint &from) { take(bytes, from); });
+            [this](std::string_view bytes, const Udp::endpoint &from) { receive(bytes, from); });
 }
 
 void LoadSharing::setPeers(const std::vector<Endpoint> &peers)
@@ -151,42 +151,42 @@
         return;
     }
     const Duration spacing =
-            std::max<Duration>(Interval, std::chrono::seconds(peers) / MostSendsPerSecond);
-    const bool hasNews =
-            m_hasUrgentNews || m_state.book.hasPlacements() || m_state.quarantine.hasNews();
-    const bool isUrgent = hasNews && now - m_toldAt >= spacing;
+            std::max<Duration>(Interval, std::chrono::seconds(peers) / MaxSendsPerSecond);
+    const bool hasUpdates =
+            m_hasUrgentUpdate || m_state.book.hasPlacements() || m_state.quarantine.hasNews();
+    const bool isUrgent = hasUpdates && now - m_sentAt >= spacing;
     if (now < m_nextAt && !isUrgent) {
         return;
     }
     const std::size_t stretch = std::max<std::size_t>(1, (peers + 1) / NodesAtFullRate);
     m_nextAt = now + Interval * stretch;
     m_state.book.forgetSilentPeers(now);
-    forgetSilent(now);
-    tell(now);
+    dropExpired(now);
+    sendUpdate(now);
 }
 
-void LoadSharing::tell(TimePoint now)
+void LoadSharing::sendUpdate(TimePoint now)
 {
     if (!m_port.isReady()) {
         return;
     }
-    m_toldAt = now;
-    m_hasUrgentNews = false;
+    m_sentAt = now;
+    m_hasUrgentUpdate = false;
     wire::NodeLoad message;
     message.set_node(m_self);
     message.set_data_centre(m_dataCentre);
-    const bool reachesStore = m_state.configAge() < OldestProof;
+    const bool reachesStore = m_state.configAge() < MaxProofAge;
     message.set_questions_port(reachesStore ? m_questionsPort : 0);
     message.set_sequence(++m_sequence);
     message.set_address(m_port.listen().str());
     message.set_operator_next(m_state.operatorNext());
-    if (now >= m_weightsToldAt + TellWeightsEvery) {
-        m_weightsToldAt = now;
+    if (now >= m_weightsSentAt + WeightsInterval) {
+        m_weightsSentAt = now;
         for (const NamedWeights &each : m_state.book.namedWeights()) {
             write(each, now, message.add_named_weights());
         }
     }
-    for (const BackendLoadNews &each : m_state.book.ownLoad(MostBackends, now)) {
+    for (const BackendLoadNews &each : m_state.book.ownLoad(MaxBackends, now)) {
         wire::BackendLoad *load = message.add_backends();
         load->set_backend(each.backend);
         const bool isIdle = each.waiting.total() <= Millis::zero();
@@ -208,11 +208,11 @@
         placement->set_wanted(each.wanted);
     }
     for (const QuarantineNews &each :
-         m_state.quarantine.toTell(m_routes.size() + 1, MostQuarantined, now, m_state.random)) {
+         m_state.quarantine.toTell(m_routes.size() + 1, MaxQuarantined, now, m_state.random)) {
         write(each, message.add_quarantined());
     }
     std::vector<LimitNews> limits = m_state.book.ownLimits(now);
-    limits.resize(std::min(limits.size(), MostLimits));
+    limits.resize(std::min(limits.size(), MaxLimits));
     for (const LimitNews &each : limits) {
         write(each, message.add_limits());
     }
@@ -222,68 +222,68 @@
     m_port.send(message.SerializeAsString(), recipients.passOn);
 }
 
-void LoadSharing::passOn(wire::NodeLoad message)
+void LoadSharing::forward(wire::NodeLoad message)
 {
     message.set_pass_on(false);
     m_port.send(message.SerializeAsString(), m_routes.beside());
 }
 
-void LoadSharing::forgetSilent(TimePoint now)
+void LoadSharing::dropExpired(TimePoint now)
 {
-    std::erase_if(m_heard, [now](const auto &item) { return now - item.second.at > HeardLife; });
+    std::erase_if(m_peers, [now](const auto &item) { return now - item.second.at > PeerExpiry; });
 }
 
-void LoadSharing::take(std::string_view bytes, const Udp::endpoint &from)
+void LoadSharing::receive(std::string_view bytes, const Udp::endpoint &from)
 {
     wire::NodeLoad message;
     if (!message.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
         m_state.metrics.count("peer_datagrams_unreadable_total");
         return;
     }
-    Endpoint told;
-    const bool isTold = parseEndpoint(message.address(), &told);
-    const auto origin = isTold ? SealedPort::addressOf(told) : std::optional(from);
+    Endpoint address;
+    const bool hasAddress = parseEndpoint(message.address(), &address);
+    const auto origin = hasAddress ? SealedPort::addressOf(address) : std::optional(from);
     if (!origin) {
         m_state.metrics.count("peer_datagrams_unreadable_total");
         return;
     }
-    Heard &heard = m_heard[message.node()];
-    if (message.node() == m_self || message.sequence() <= heard.sequence) {
+    Peer &peer = m_peers[message.node()];
+    if (message.node() == m_self || message.sequence() <= peer.sequence) {
         return;
     }
     const TimePoint now = MonotonicClock::now();
-    heard.sequence = message.sequence();
-    heard.at = now;
+    peer.sequence = message.sequence();
+    peer.at = now;
     if (m_routes.heard(*origin, message.data_centre(), now)) {
         countPeers(); // it started after the list was read
     }
     if (message.pass_on()) {
-        passOn(message);
+        forward(message);
     }
-    if (message.questions_port() != 0 && now >= heard.passedOnAt + PassOnEvery) {
-        heard.passedOnAt = now;
+    if (message.questions_port() != 0 && now >= peer.reportedAt + ReportInterval) {
+        peer.reportedAt = now;
         nodeSeen(message.node(), message.data_centre(),
                  {origin->address().to_string(),
                   static_cast<std::uint16_t>(message.questions_port())});
     }
-    if (message.operator_next() > m_heardOperatorNext) {
-        m_heardOperatorNext = message.operator_next();
-        receivedOperatorNext(m_heardOperatorNext);
+    if (message.operator_next() > m_highestOperatorNext) {
+        m_highestOperatorNext = message.operator_next();
+        receivedOperatorNext(m_highestOperatorNext);
     }
     for (const wire::NamedWeights &each : message.named_weights()) {
         m_state.dateWeights(read(each, now), DateGrounds::Told, "peer");
     }
-    std::vector<BackendLoadNews> news;
-    news.reserve(static_cast<std::size_t>(message.backends_size()));
+    std::vector<BackendLoadNews> updates;
+    updates.reserve(static_cast<std::size_t>(message.backends_size()));
     for (const wire::BackendLoad &load : message.backends()) {
         WaitingWork waiting;
         for (int urgency = 0; urgency < load.waiting_ms_size(); ++urgency) {
             waiting.add(urgency, Millis(load.waiting_ms(urgency)));
         }
-        news.push_back({load.backend(), waiting, static_cast<int>(load.in_flight()),
-                        std::chrono::milliseconds(load.loading_ms()), load.weights()});
+        updates.push_back({load.backend(), waiting, static_cast<int>(load.in_flight()),
+                           std::chrono::milliseconds(load.loading_ms()), load.weights()});
     }
-    m_state.book.heardLoad(message.node(), news, now);
+    m_state.book.heardLoad(message.node(), updates, now);
     std::vector<PlacementNews> placements;
     placements.reserve(static_cast<std::size_t>(message.placements_size()));
     for (const wire::Placement &each : message.placements()) {
@@ -295,21 +295,21 @@
     }
     m_state.book.heardPlacements(placements, now);
     if (message.limits_size() > 0) {
-        takeLimits(message, now);
+        applyLimits(message, now);
     }
     if (message.quarantined_size() > 0) {
-        takeQuarantined(message, now);
+        applyQuarantined(message, now);
     }
 }
 
-void LoadSharing::takeLimits(const wire::NodeLoad &message, TimePoint now)
+void LoadSharing::applyLimits(const wire::NodeLoad &message, TimePoint now)
 {
-    std::vector<LimitNews> news;
-    news.reserve(static_cast<std::size_t>(message.limits_size()));
+    std::vector<LimitNews> updates;
+    updates.reserve(static_cast<std::size_t>(message.limits_size()));
     for (const wire::BackendLimit &each : message.limits()) {
-        news.push_back(read(each));
+        updates.push_back(read(each));
     }
-    for (const EngineId &changed : m_state.book.heardLimits(message.node(), news, now)) {
+    for (const EngineId &changed : m_state.book.heardLimits(message.node(), updates, now)) {
         const std::optional<double> limit = m_state.book.limitOf(changed);
         LogEvent("engine_limit")
                 .field("backend", changed.str())
@@ -320,14 +320,14 @@
     }
 }
 
-void LoadSharing::takeQuarantined(const wire::NodeLoad &message, TimePoint now)
+void LoadSharing::applyQuarantined(const wire::NodeLoad &message, TimePoint now)
 {
-    std::vector<QuarantineNews> news;
-    news.reserve(static_cast<std::size_t>(message.quarantined_size()));
+    std::vector<QuarantineNews> updates;
+    updates.reserve(static_cast<std::size_t>(message.quarantined_size()));
     for (const wire::QuarantinedRequest &each : message.quarantined()) {
-        news.push_back(read(each));
+        updates.push_back(read(each));
     }
-    for (const WorkDigest &held : m_state.quarantine.heard(news, now)) {
+    for (const WorkDigest &held : m_state.quarantine.heard(updates, now)) {
         Exchange::withdrawHeld(m_state, held);
     }
 }
