--- a/include/vanilladyke/node/load_sharing.hpp
+++ b/include/vanilladyke/node/load_sharing.hpp
@@ -47,7 +47,7 @@
     void step(TimePoint now);
     /// @brief Sends an update at the next step, at most as often as placement updates: an engine
     /// state that changes many times a second must not saturate the link and CPU of a small host.
-    void tellSoon() { m_hasUrgentUpdate = true; }
+    void sendSoon() { m_hasUrgentUpdate = true; }
     /// @brief Sends an update now.
     void sendUpdate(TimePoint now);
 
--- a/src/vanilladyke/app/node_command.cpp
+++ b/src/vanilladyke/app/node_command.cpp
@@ -129,7 +129,7 @@
         m_traffic.peersChanged = [this](const std::vector<Endpoint> &peers) {
             m_sharing.setPeers(peers);
         };
-        m_traffic.tellPeers = [this] { m_sharing.tellSoon(); };
+        m_traffic.tellPeers = [this] { m_sharing.sendSoon(); };
         m_sharing.nodeSeen = [this](std::uint64_t node, std::uint64_t centre, Endpoint endpoint) {
             asio::post(m_controlContext, [this, node, centre, endpoint = std::move(endpoint)] {
                 m_follower.nodeSeen(node, centre, endpoint);
