--- a/include/vanilladyke/node/peer_questions.hpp
+++ b/include/vanilladyke/node/peer_queries.hpp
@@ -11,15 +11,15 @@
 
 /// @brief Requests of nodes to the node that reads the store for them, and their answers, as
 /// datagrams. Runs on the control thread.
-class PeerQuestions
+class PeerQueries
 {
 public:
     /// Time limit of an answer. Nodes of one data centre answer within milliseconds, one with
     /// little CPU within a few dozen.
     static constexpr Duration AnswerTime = std::chrono::milliseconds(250);
 
-    PeerQuestions(asio::io_context &context, const StateFollower &follower, Endpoint listen,
-                  std::uint64_t seed);
+    PeerQueries(asio::io_context &context, const StateFollower &follower, Endpoint listen,
+                std::uint64_t seed);
 
     /// @brief Opens the port. @return an error message, or none on success
     [[nodiscard]] std::optional<std::string> open();
--- a/src/vanilladyke/app/node_command.cpp
+++ b/src/vanilladyke/app/node_command.cpp
@@ -11,7 +11,7 @@
 #include "vanilladyke/base/log.hpp"
 #include "vanilladyke/model/json_reader.hpp"
 #include "vanilladyke/node/load_sharing.hpp"
-#include "vanilladyke/node/peer_questions.hpp"
+#include "vanilladyke/node/peer_queries.hpp"
 
 #include <boost/asio/signal_set.hpp>
 
@@ -233,7 +233,7 @@
     platform::StateStore m_state;
     platform::StateRecords m_records;
     StateFollower m_follower;
-    PeerQuestions m_questions;
+    PeerQueries m_questions;
     LoadSharing m_sharing;
     asio::signal_set m_signals;
     asio::signal_set m_hangup; ///< the settings file has changed
--- a/src/vanilladyke/node/peer_questions.cpp
+++ b/src/vanilladyke/node/peer_queries.cpp
@@ -1,4 +1,4 @@
-#include "vanilladyke/node/peer_questions.hpp"
+#include "vanilladyke/node/peer_queries.hpp"
 
 #include "node_load.pb.h"
 
@@ -38,22 +38,22 @@
 
 } // namespace
 
-PeerQuestions::PeerQuestions(asio::io_context &context, const StateFollower &follower,
-                             Endpoint listen, std::uint64_t seed)
+PeerQueries::PeerQueries(asio::io_context &context, const StateFollower &follower, Endpoint listen,
+                         std::uint64_t seed)
     : m_context(context)
     , m_follower(follower)
     , m_random(seed)
     , m_port(context, std::move(listen))
 {}
 
-std::optional<std::string> PeerQuestions::open()
+std::optional<std::string> PeerQueries::open()
 {
     return m_port.open(
             [this](std::string_view bytes, const Udp::endpoint &from) { take(bytes, from); });
 }
 
 asio::awaitable<std::optional<SharedUpdates>>
-PeerQuestions::ask(Endpoint peer, std::uint64_t operatorNext, std::uint64_t backendsNext)
+PeerQueries::ask(Endpoint peer, std::uint64_t operatorNext, std::uint64_t backendsNext)
 {
     const auto to = SealedPort::addressOf(peer);
     if (!to) {
@@ -74,7 +74,7 @@
     co_return std::move(waiting->news);
 }
 
-void PeerQuestions::take(std::string_view bytes, const Udp::endpoint &from)
+void PeerQueries::take(std::string_view bytes, const Udp::endpoint &from)
 {
     wire::NodeMessage message;
     if (!message.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
