--- a/include/vanilladyke/node/peer_queries.hpp
+++ b/include/vanilladyke/node/peer_queries.hpp
@@ -16,7 +16,7 @@
 public:
     /// Time limit of an answer. Nodes of one data centre answer within milliseconds, one with
     /// little CPU within a few dozen.
-    static constexpr Duration AnswerTime = std::chrono::milliseconds(250);
+    static constexpr Duration AnswerTimeout = std::chrono::milliseconds(250);
 
     PeerQueries(asio::io_context &context, const StateFollower &follower, Endpoint listen,
                 std::uint64_t seed);
@@ -25,7 +25,7 @@
     [[nodiscard]] std::optional<std::string> open();
     void setKey(std::string key) { m_port.setKey(std::move(key)); }
     /// @brief Requests updates from the offsets on.
-    /// @return none if the peer doesn't answer within AnswerTime
+    /// @return none if the peer doesn't answer within AnswerTimeout
     [[nodiscard]] asio::awaitable<std::optional<SharedUpdates>>
     ask(Endpoint peer, std::uint64_t operatorNext, std::uint64_t backendsNext);
 
@@ -34,10 +34,10 @@
     struct Waiting
     {
         asio::steady_timer timer;
-        std::optional<SharedUpdates> news;
+        std::optional<SharedUpdates> updates;
     };
 
-    void take(std::string_view bytes, const Udp::endpoint &from);
+    void receive(std::string_view bytes, const Udp::endpoint &from);
 
     asio::io_context &m_context;
     const StateFollower &m_follower;
--- a/src/vanilladyke/node/peer_queries.cpp
+++ b/src/vanilladyke/node/peer_queries.cpp
@@ -6,16 +6,16 @@
 
 namespace {
 
-void write(const std::optional<RecordRelay::News> &news, wire::TopicNews *out)
+void write(const std::optional<RecordRelay::News> &updates, wire::TopicNews *out)
 {
-    out->set_known(news.has_value());
-    if (!news) {
+    out->set_known(updates.has_value());
+    if (!updates) {
         return;
     }
-    out->set_next(news->next);
-    const auto age = std::chrono::duration_cast<std::chrono::microseconds>(news->age);
+    out->set_next(updates->next);
+    const auto age = std::chrono::duration_cast<std::chrono::microseconds>(updates->age);
     out->set_age_us(static_cast<std::uint64_t>(std::max<std::int64_t>(age.count(), 0)) + 1);
-    for (const RecordRelay::Change &change : news->changes) {
+    for (const RecordRelay::Change &change : updates->changes) {
         wire::TopicRecord *record = out->add_records();
         record->set_offset(change.offset);
         record->set_bytes(change.record);
@@ -27,13 +27,13 @@
     if (!in.known()) {
         return std::nullopt;
     }
-    RecordRelay::News news;
-    news.next = in.next();
-    news.age = std::chrono::microseconds(in.age_us());
+    RecordRelay::News updates;
+    updates.next = in.next();
+    updates.age = std::chrono::microseconds(in.age_us());
     for (const wire::TopicRecord &record : in.records()) {
-        news.changes.push_back({record.offset(), record.bytes(), {}});
+        updates.changes.push_back({record.offset(), record.bytes(), {}});
     }
-    return news;
+    return updates;
 }
 
 } // namespace
@@ -49,7 +49,7 @@
 std::optional<std::string> PeerQueries::open()
 {
     return m_port.open(
-            [this](std::string_view bytes, const Udp::endpoint &from) { take(bytes, from); });
+            [this](std::string_view bytes, const Udp::endpoint &from) { receive(bytes, from); });
 }
 
 asio::awaitable<std::optional<SharedUpdates>>
@@ -65,35 +65,35 @@
     message.mutable_ask()->set_operator_next(operatorNext);
     message.mutable_ask()->set_backends_next(backendsNext);
     const auto waiting = std::make_shared<Waiting>(
-            Waiting{asio::steady_timer(m_context, AnswerTime), std::nullopt});
+            Waiting{asio::steady_timer(m_context, AnswerTimeout), std::nullopt});
     m_waiting[question] = waiting;
     m_port.send(message.SerializeAsString(), {*to});
     ErrorCode ignored;
     co_await waiting->timer.async_wait(into(ignored));
     m_waiting.erase(question);
-    co_return std::move(waiting->news);
+    co_return std::move(waiting->updates);
 }
 
-void PeerQueries::take(std::string_view bytes, const Udp::endpoint &from)
+void PeerQueries::receive(std::string_view bytes, const Udp::endpoint &from)
 {
     wire::NodeMessage message;
     if (!message.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
         return;
     }
     if (message.has_ask()) {
-        const SharedUpdates news = m_follower.updatesSince(message.ask().operator_next(),
-                                                           message.ask().backends_next());
+        const SharedUpdates updates = m_follower.updatesSince(message.ask().operator_next(),
+                                                              message.ask().backends_next());
         wire::NodeMessage answer;
         answer.set_question(message.question());
-        write(news.configuration, answer.mutable_news()->mutable_configuration());
-        write(news.backends, answer.mutable_news()->mutable_backends());
+        write(updates.configuration, answer.mutable_news()->mutable_configuration());
+        write(updates.backends, answer.mutable_news()->mutable_backends());
         m_port.send(answer.SerializeAsString(), {from}); // without it the peer reads the store
         return;
     }
     const auto waiting = m_waiting.find(message.question());
     if (message.has_news() && waiting != m_waiting.end()) {
-        waiting->second->news = SharedUpdates{read(message.news().configuration()),
-                                              read(message.news().backends())};
+        waiting->second->updates = SharedUpdates{read(message.news().configuration()),
+                                                 read(message.news().backends())};
         waiting->second->timer.cancel();
     }
 }
