--- a/include/vanilladyke/node/peer_seal.hpp
+++ b/include/vanilladyke/node/datagram_signer.hpp
@@ -13,15 +13,15 @@
 namespace vanilladyke {
 
 /// @brief Signs and verifies datagrams with the fleet key; without a key verification fails.
-class PeerSeal
+class DatagramSigner
 {
 public:
     void setKey(std::string key) { m_key = std::move(key); }
     [[nodiscard]] bool isReady() const { return !m_key.empty(); }
     /// @return the tag, followed by the message
-    [[nodiscard]] std::string seal(std::string_view message) const;
+    [[nodiscard]] std::string sign(std::string_view message) const;
     /// @return the message, or none if the tag doesn't match the key
-    [[nodiscard]] std::optional<std::string_view> open(std::string_view datagram) const;
+    [[nodiscard]] std::optional<std::string_view> verify(std::string_view datagram) const;
 
 private:
     std::string m_key;
--- a/include/vanilladyke/node/sealed_port.hpp
+++ b/include/vanilladyke/node/sealed_port.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "vanilladyke/node/peer_seal.hpp"
+#include "vanilladyke/node/datagram_signer.hpp"
 #include "vanilladyke/traffic/asio.hpp"
 
 #include <boost/asio/ip/udp.hpp>
@@ -24,8 +24,8 @@
     /// @brief Opens the port and passes each message with a valid tag to @p receiver.
     /// @return an error message, or none on success
     [[nodiscard]] std::optional<std::string> open(Receiver receiver);
-    void setKey(std::string key) { m_seal.setKey(std::move(key)); }
-    [[nodiscard]] bool isReady() const { return m_seal.isReady(); }
+    void setKey(std::string key) { m_signer.setKey(std::move(key)); }
+    [[nodiscard]] bool isReady() const { return m_signer.isReady(); }
     /// @brief Sends the message to each endpoint; without a key nothing is sent.
     void send(std::string_view message, const std::vector<Udp::endpoint> &to);
     [[nodiscard]] const Endpoint &listen() const { return m_listen; }
@@ -37,7 +37,7 @@
 
     asio::io_context &m_context;
     Endpoint m_listen;
-    PeerSeal m_seal;
+    DatagramSigner m_signer;
     Udp::socket m_socket;
     Receiver m_receiver;
     std::array<char, 65536> m_buffer{};
--- a/src/vanilladyke/node/peer_seal.cpp
+++ b/src/vanilladyke/node/datagram_signer.cpp
@@ -1,4 +1,4 @@
-#include "vanilladyke/node/peer_seal.hpp"
+#include "vanilladyke/node/datagram_signer.hpp"
 
 #include <sodium.h>
 
@@ -22,22 +22,22 @@
 
 } // namespace
 
-std::string PeerSeal::seal(std::string_view message) const
+std::string DatagramSigner::sign(std::string_view message) const
 {
     const Tag tag = tagOf(message, m_key);
     std::string datagram(reinterpret_cast<const char *>(tag.data()), tag.size());
     return datagram.append(message);
 }
 
-std::optional<std::string_view> PeerSeal::open(std::string_view datagram) const
+std::optional<std::string_view> DatagramSigner::verify(std::string_view datagram) const
 {
     if (!isReady() || datagram.size() < TagBytes) {
         return std::nullopt;
     }
     const std::string_view message = datagram.substr(TagBytes);
     const Tag tag = tagOf(message, m_key);
-    const bool isOurs = sodium_memcmp(tag.data(), datagram.data(), TagBytes) == 0;
-    return isOurs ? std::optional(message) : std::nullopt;
+    const bool isValid = sodium_memcmp(tag.data(), datagram.data(), TagBytes) == 0;
+    return isValid ? std::optional(message) : std::nullopt;
 }
 
 } // namespace vanilladyke
--- a/src/vanilladyke/node/sealed_port.cpp
+++ b/src/vanilladyke/node/sealed_port.cpp
@@ -40,7 +40,7 @@
     if (!isReady()) {
         return;
     }
-    const std::string datagram = m_seal.seal(message);
+    const std::string datagram = m_signer.sign(message);
     for (const Udp::endpoint &each : to) {
         ErrorCode ignored;
         m_socket.send_to(asio::buffer(datagram), each, 0, ignored);
@@ -57,7 +57,7 @@
         if (!m_socket.is_open()) {
             co_return;
         }
-        const auto message = m_seal.open({m_buffer.data(), error ? 0 : size});
+        const auto message = m_signer.verify({m_buffer.data(), error ? 0 : size});
         if (message) {
             m_receiver(*message, from);
         }
