--- a/include/vanilladyke/node/load_sharing.hpp
+++ b/include/vanilladyke/node/load_sharing.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "vanilladyke/node/sealed_port.hpp"
+#include "vanilladyke/node/signed_port.hpp"
 #include "vanilladyke/policy/news_routes.hpp"
 #include "vanilladyke/traffic/traffic_state.hpp"
 
@@ -52,7 +52,7 @@
     void sendUpdate(TimePoint now);
 
 private:
-    using Udp = SealedPort::Udp;
+    using Udp = SignedPort::Udp;
     /// A node from which an update was received.
     struct Peer
     {
@@ -72,7 +72,7 @@
     void applyQuarantined(const wire::NodeLoad &message, TimePoint now);
 
     TrafficState &m_state;
-    SealedPort m_port;
+    SignedPort m_port;
     std::uint16_t m_questionsPort;
     std::uint64_t m_self;
     std::uint64_t m_dataCentre; ///< hash of its name
--- a/include/vanilladyke/node/peer_queries.hpp
+++ b/include/vanilladyke/node/peer_queries.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "vanilladyke/base/random.hpp"
-#include "vanilladyke/node/sealed_port.hpp"
+#include "vanilladyke/node/signed_port.hpp"
 #include "vanilladyke/node/state_follower.hpp"
 
 #include <memory>
@@ -30,7 +30,7 @@
     ask(Endpoint peer, std::uint64_t operatorNext, std::uint64_t backendsNext);
 
 private:
-    using Udp = SealedPort::Udp;
+    using Udp = SignedPort::Udp;
     struct Waiting
     {
         asio::steady_timer timer;
@@ -42,7 +42,7 @@
     asio::io_context &m_context;
     const StateFollower &m_follower;
     Random m_random;
-    SealedPort m_port;
+    SignedPort m_port;
     std::unordered_map<std::uint64_t, std::shared_ptr<Waiting>> m_waiting; ///< by request number
 };
 
--- a/include/vanilladyke/node/sealed_port.hpp
+++ b/include/vanilladyke/node/signed_port.hpp
@@ -13,13 +13,13 @@
 /// @brief A UDP socket for authenticated datagrams between nodes. Datagrams without a valid tag of
 /// the fleet key are dropped. Delivery is not guaranteed: a full buffer or an unreachable peer
 /// loses a datagram. Runs on the thread of its context.
-class SealedPort
+class SignedPort
 {
 public:
     using Udp = asio::ip::udp;
     using Receiver = std::function<void(std::string_view message, const Udp::endpoint &from)>;
 
-    SealedPort(asio::io_context &context, Endpoint listen);
+    SignedPort(asio::io_context &context, Endpoint listen);
 
     /// @brief Opens the port and passes each message with a valid tag to @p receiver.
     /// @return an error message, or none on success
--- a/src/vanilladyke/node/load_sharing.cpp
+++ b/src/vanilladyke/node/load_sharing.cpp
@@ -130,7 +130,7 @@
 {
     std::vector<Udp::endpoint> addresses;
     for (const Endpoint &peer : peers) {
-        const auto address = SealedPort::addressOf(peer);
+        const auto address = SignedPort::addressOf(peer);
         if (address && peer != m_port.listen()) {
             addresses.push_back(*address);
         }
@@ -242,7 +242,7 @@
     }
     Endpoint address;
     const bool hasAddress = parseEndpoint(message.address(), &address);
-    const auto origin = hasAddress ? SealedPort::addressOf(address) : std::optional(from);
+    const auto origin = hasAddress ? SignedPort::addressOf(address) : std::optional(from);
     if (!origin) {
         m_state.metrics.count("peer_datagrams_unreadable_total");
         return;
--- a/src/vanilladyke/node/peer_queries.cpp
+++ b/src/vanilladyke/node/peer_queries.cpp
@@ -55,7 +55,7 @@
 asio::awaitable<std::optional<SharedUpdates>>
 PeerQueries::ask(Endpoint peer, std::uint64_t operatorNext, std::uint64_t backendsNext)
 {
-    const auto to = SealedPort::addressOf(peer);
+    const auto to = SignedPort::addressOf(peer);
     if (!to) {
         co_return std::nullopt;
     }
--- a/src/vanilladyke/node/sealed_port.cpp
+++ b/src/vanilladyke/node/signed_port.cpp
@@ -1,21 +1,21 @@
-#include "vanilladyke/node/sealed_port.hpp"
+#include "vanilladyke/node/signed_port.hpp"
 
 namespace vanilladyke {
 
-SealedPort::SealedPort(asio::io_context &context, Endpoint listen)
+SignedPort::SignedPort(asio::io_context &context, Endpoint listen)
     : m_context(context)
     , m_listen(std::move(listen))
     , m_socket(context)
 {}
 
-std::optional<SealedPort::Udp::endpoint> SealedPort::addressOf(const Endpoint &endpoint)
+std::optional<SignedPort::Udp::endpoint> SignedPort::addressOf(const Endpoint &endpoint)
 {
     ErrorCode error;
     const auto address = asio::ip::make_address(endpoint.host, error);
     return error ? std::nullopt : std::optional(Udp::endpoint(address, endpoint.port));
 }
 
-std::optional<std::string> SealedPort::open(Receiver receiver)
+std::optional<std::string> SignedPort::open(Receiver receiver)
 {
     const auto endpoint = addressOf(m_listen);
     if (!endpoint) {
@@ -35,7 +35,7 @@
     return std::nullopt;
 }
 
-void SealedPort::send(std::string_view message, const std::vector<Udp::endpoint> &to)
+void SignedPort::send(std::string_view message, const std::vector<Udp::endpoint> &to)
 {
     if (!isReady()) {
         return;
@@ -47,7 +47,7 @@
     }
 }
 
-asio::awaitable<void> SealedPort::receive()
+asio::awaitable<void> SignedPort::receive()
 {
     for (;;) {
         ErrorCode error;
