--- a/include/vanilladyke/node/packed_record.hpp
+++ b/include/vanilladyke/node/packed_record.hpp
@@ -11,7 +11,7 @@
 namespace vanilladyke {
 
 /// @brief Upper bound of a decompressed record, so that a malformed one can't exhaust the memory.
-inline constexpr std::size_t MostUnpackedBytes = 4U << 20U;
+inline constexpr std::size_t MaxUnpackedBytes = 4U << 20U;
 
 /// @return four length bytes, lowest first, and the compressed record
 [[nodiscard]] std::string packRecord(std::string_view record);
--- a/include/vanilladyke/node/store_calls.hpp
+++ b/include/vanilladyke/node/store_calls.hpp
@@ -42,14 +42,14 @@
 class StoreCalls
 {
 public:
-    static constexpr Duration LogEvery = std::chrono::seconds(10);
+    static constexpr Duration LogInterval = std::chrono::seconds(10);
 
     explicit StoreCalls(Metrics &metrics)
         : m_metrics(metrics)
     {}
 
     void count(StoreCall call, StoreTopic topic, CallCause cause);
-    /// @brief Logs all counters if LogEvery has passed and there were calls since the last line.
+    /// @brief Logs all counters if LogInterval has passed and there were calls since the last line.
     void log(TimePoint now);
     [[nodiscard]] std::uint64_t total() const { return m_total; }
 
--- a/src/vanilladyke/node/packed_record.cpp
+++ b/src/vanilladyke/node/packed_record.cpp
@@ -49,7 +49,7 @@
     for (std::size_t i = 0; i < LengthBytes; ++i) {
         size |= static_cast<std::size_t>(static_cast<std::uint8_t>(packed[i])) << (ByteBits * i);
     }
-    if (size > MostUnpackedBytes) {
+    if (size > MaxUnpackedBytes) {
         return std::nullopt;
     }
     std::string record(size, '\0');
--- a/src/vanilladyke/node/state_follower_test.cpp
+++ b/src/vanilladyke/node/state_follower_test.cpp
@@ -48,7 +48,8 @@
         const TimePoint until = MonotonicClock::now() + wait;
         ++waiting;
         const auto waitsOn = [&] {
-            return leavesOut || (!isThere && (topics[topic].size() == from || passesOver));
+            return omitsRecords
+                   || (!isThere && (topics[topic].size() == from || missesWaitingCalls));
         };
         while (waitsOn() && MonotonicClock::now() < until) {
             asio::steady_timer timer(m_context, milliseconds(20));
@@ -56,10 +57,10 @@
             co_await timer.async_wait(into(ignored));
         }
         --waiting;
-        if (leavesOut && wait > Duration::zero()) {
+        if (omitsRecords && wait > Duration::zero()) {
             co_return RecordPage{from, {}};
         }
-        while (isSilent) {
+        while (isUnresponsive) {
             asio::steady_timer timer(m_context, milliseconds(100));
             ErrorCode ignored;
             co_await timer.async_wait(into(ignored));
@@ -92,14 +93,14 @@
     std::map<StateTopic, std::vector<std::string>> topics;
     int calls = 0;
     bool isDown = false;
-    bool isSilent = false;        ///< reads stay without an answer
-    bool passesOver = false;      ///< waiting calls return new records only at their end
-    bool leavesOut = false;       ///< waiting calls never return new records
-    bool isExpired = false;       ///< the next read of the operator's records finds them deleted
-    bool failsPlainReads = false; ///< reads of the operator's records that don't wait fail
-    int waiting = 0;              ///< calls that are waiting now
-    int waitsBegun = 0;           ///< calls with a wait so far
-    std::set<Duration> waits;     ///< distinct waits of calls
+    bool isUnresponsive = false;     ///< reads stay without an answer
+    bool missesWaitingCalls = false; ///< waiting calls return new records only at their end
+    bool omitsRecords = false;       ///< waiting calls never return new records
+    bool isExpired = false;          ///< the next read of the operator's records finds them deleted
+    bool failsPlainReads = false;    ///< reads of the operator's records that don't wait fail
+    int waiting = 0;                 ///< calls that are waiting now
+    int waitsBegun = 0;              ///< calls with a wait so far
+    std::set<Duration> waits;        ///< distinct waits of calls
 
 private:
     asio::io_context &m_context;
@@ -132,7 +133,7 @@
     void configurationRead(RoutingConfig) override {}
     void weightsAnnounced(const ModelId &, std::uint64_t, std::optional<Duration> age) override
     {
-        ++named;
+        ++announced;
         writtenAt = age ? BootClock::now() - *age : TimePoint::min();
     }
     bool backendRead(BackendEntry entry) override
@@ -153,7 +154,7 @@
     void keptCacheReset(const Endpoint &, KeptCacheState) override {}
     void keptCacheChanged(const Endpoint &, std::vector<KeptPart>) override {}
 
-    int named = 0;
+    int announced = 0;
     TimePoint writtenAt =
             TimePoint::min(); ///< earliest time of the last weights that were announced
     int failures = 0;
@@ -185,7 +186,7 @@
         m_ownStore.topics = m_store.topics;
         m_reader.start();
         m_asking.start();
-        hear();
+        reportNodes();
         m_asking.setAskPeer(
                 [this](Endpoint peer, std::uint64_t operatorNext, std::uint64_t backendsNext)
                         -> asio::awaitable<std::optional<SharedUpdates>> {
@@ -194,16 +195,16 @@
                         co_return std::nullopt;
                     }
                     ++m_answered;
-                    SharedUpdates news = m_reader.updatesSince(operatorNext, backendsNext);
-                    if (!m_tellsConfiguration) {
-                        news.configuration.reset();
+                    SharedUpdates updates = m_reader.updatesSince(operatorNext, backendsNext);
+                    if (!m_sendsConfiguration) {
+                        updates.configuration.reset();
                     }
-                    co_return news;
+                    co_return updates;
                 });
     }
 
     /// Reports enough nodes that the asking one doesn't rank first; all answer as the reader does.
-    void hear()
+    void reportNodes()
     {
         for (std::uint64_t node = 10; node < 50; ++node) {
             m_asking.nodeSeen(node, Centre, {"127.0.0.1", static_cast<std::uint16_t>(node)});
@@ -211,12 +212,12 @@
     }
 
     /// Runs until the condition holds. @return false on time-out
-    bool reach(const std::function<bool()> &condition)
+    bool runUntil(const std::function<bool()> &condition)
     {
         constexpr Duration Longest = std::chrono::seconds(30);
         const TimePoint until = MonotonicClock::now() + Longest;
         while (!condition() && MonotonicClock::now() < until) {
-            hear();
+            reportNodes();
             m_context.restart();
             m_context.run_one_for(milliseconds(100));
         }
@@ -224,12 +225,12 @@
     }
 
     /// Runs until the asking node has received an answer.
-    bool reachSharing()
+    bool awaitAnswer()
     {
-        return reach([this] { return m_answered > 0; });
+        return runUntil([this] { return m_answered > 0; });
     }
 
-    bool askingKnows(const std::string &backend) const
+    bool askingHasReceived(const std::string &backend) const
     {
         const auto &known = m_askingListener.backends;
         return std::find(known.begin(), known.end(), backend) != known.end();
@@ -248,7 +249,7 @@
     StateFollower m_asking;
     std::vector<int> m_asked;
     bool m_answers = true;
-    bool m_tellsConfiguration = true;
+    bool m_sendsConfiguration = true;
     int m_answered = 0;
 };
 
@@ -256,16 +257,17 @@
 {
     m_store.topics[StateTopic::Backends] = {"e=1", "beat=1"};
     start();
-    ASSERT_TRUE(reachSharing());
+    ASSERT_TRUE(awaitAnswer());
     const TimePoint provedAt = m_askingListener.provedAt;
     // The following records are only in the reader's store.
     m_store.topics[StateTopic::Operator].push_back("version=2");
     for (const char *record : {"beat=2", "e=2", "beat=3", "e=3"}) {
         m_store.topics[StateTopic::Backends].push_back(record);
     }
-    EXPECT_TRUE(reach([this] { return askingKnows("e=3") && m_askingListener.named > 0; }));
+    EXPECT_TRUE(runUntil(
+            [this] { return askingHasReceived("e=3") && m_askingListener.announced > 0; }));
     EXPECT_EQ(m_askingListener.backends, m_readerListener.backends);
-    EXPECT_TRUE(reach([&] { return m_askingListener.provedAt > provedAt; }));
+    EXPECT_TRUE(runUntil([&] { return m_askingListener.provedAt > provedAt; }));
 }
 
 // Guards against records from another node that are dated by their arrival, up to half a second
@@ -273,13 +275,13 @@
 TEST_F(StateFollowerTest, DatesRecordsFromPeersByTheLastProof)
 {
     start();
-    ASSERT_TRUE(reachSharing());
+    ASSERT_TRUE(awaitAnswer());
     m_answered = 0;
-    ASSERT_TRUE(reachSharing());
+    ASSERT_TRUE(awaitAnswer());
     const TimePoint before = BootClock::now();
     m_store.topics[StateTopic::Operator].push_back("version=2");
     m_ownStore.topics[StateTopic::Operator].push_back("version=2");
-    ASSERT_TRUE(reach([this] { return m_askingListener.named > 0; }));
+    ASSERT_TRUE(runUntil([this] { return m_askingListener.announced > 0; }));
     EXPECT_LE(m_askingListener.writtenAt, before);
     EXPECT_GT(m_askingListener.writtenAt, TimePoint::min());
 }
@@ -288,14 +290,14 @@
 // freshness proof was old, and refused a route that had been added two seconds before.
 TEST_F(StateFollowerTest, ReadsAtOnceWhatTheReaderCannotSend)
 {
-    m_tellsConfiguration = false;
+    m_sendsConfiguration = false;
     start();
-    ASSERT_TRUE(reachSharing());
+    ASSERT_TRUE(awaitAnswer());
     const TimePoint provedAt = m_askingListener.provedAt;
-    ASSERT_TRUE(reach([&] { return m_askingListener.provedAt > provedAt; }));
+    ASSERT_TRUE(runUntil([&] { return m_askingListener.provedAt > provedAt; }));
     const std::size_t before = m_asked.size();
     m_ownStore.topics[StateTopic::Operator].push_back("version=2");
-    EXPECT_TRUE(reach([this] { return m_askingListener.named > 0; }));
+    EXPECT_TRUE(runUntil([this] { return m_askingListener.announced > 0; }));
     EXPECT_LT(m_asked.size() - before, 4U) << "requests until it was read";
 }
 
@@ -303,15 +305,17 @@
 TEST_F(StateFollowerTest, ReadsTheStoreWhenTheReaderIsUnresponsive)
 {
     start();
-    ASSERT_TRUE(reachSharing());
+    ASSERT_TRUE(awaitAnswer());
     m_answers = false;
-    const TimePoint silentAt = BootClock::now();
+    const TimePoint stoppedAt = BootClock::now();
     m_ownStore.topics[StateTopic::Operator].push_back("version=2");
     m_ownStore.topics[StateTopic::Backends].push_back("e=2");
-    EXPECT_TRUE(reach([this] { return askingKnows("e=2") && m_askingListener.named > 0; }));
-    EXPECT_TRUE(reach([&] { return m_askingListener.provedAt > silentAt; }));
-    EXPECT_TRUE(reach([this] { return std::set<int>(m_asked.begin(), m_asked.end()).size() > 1; }))
-            << "others are asked";
+    EXPECT_TRUE(runUntil(
+            [this] { return askingHasReceived("e=2") && m_askingListener.announced > 0; }));
+    EXPECT_TRUE(runUntil([&] { return m_askingListener.provedAt > stoppedAt; }));
+    EXPECT_TRUE(runUntil([this] {
+        return std::set<int>(m_asked.begin(), m_asked.end()).size() > 1;
+    })) << "others are asked";
 }
 
 // Guards against stale state when the reader has lost the store but still answers, with an ageing
@@ -319,13 +323,13 @@
 TEST_F(StateFollowerTest, ReadsTheStoreWhenTheReadersProofIsOld)
 {
     start();
-    ASSERT_TRUE(reachSharing());
+    ASSERT_TRUE(awaitAnswer());
     m_store.isDown = true;
-    ASSERT_TRUE(reach([this] { return m_readerListener.failures > 0; }));
+    ASSERT_TRUE(runUntil([this] { return m_readerListener.failures > 0; }));
     const TimePoint cutAt = BootClock::now();
     m_ownStore.topics[StateTopic::Backends].push_back("e=2");
-    EXPECT_TRUE(reach([this] { return askingKnows("e=2"); }));
-    EXPECT_TRUE(reach([&] { return m_askingListener.provedAt > cutAt; }));
+    EXPECT_TRUE(runUntil([this] { return askingHasReceived("e=2"); }));
+    EXPECT_TRUE(runUntil([&] { return m_askingListener.provedAt > cutAt; }));
     EXPECT_EQ(m_askingListener.failures, 0);
 }
 
@@ -334,11 +338,11 @@
 TEST_F(StateFollowerTest, SwitchesFromAStaleReaderToAnother)
 {
     start();
-    ASSERT_TRUE(reachSharing());
+    ASSERT_TRUE(awaitAnswer());
     m_store.isDown = true;
-    ASSERT_TRUE(reach([this] { return m_readerListener.failures > 0; }));
+    ASSERT_TRUE(runUntil([this] { return m_readerListener.failures > 0; }));
     const int first = m_asked.back();
-    EXPECT_TRUE(reach([&] { return m_asked.back() != first; }));
+    EXPECT_TRUE(runUntil([&] { return m_asked.back() != first; }));
 }
 
 // Guards against records dated too late by a node that switches from asking to reading. They may
@@ -347,11 +351,11 @@
 TEST_F(StateFollowerTest, DatesOwnReadsAfterAskingByTheLastProof)
 {
     start();
-    ASSERT_TRUE(reachSharing());
+    ASSERT_TRUE(awaitAnswer());
     m_answers = false;
     const TimePoint proved = m_askingListener.provedAt;
     m_ownStore.topics[StateTopic::Operator].push_back("version=2");
-    ASSERT_TRUE(reach([this] { return m_askingListener.named > 0; }));
+    ASSERT_TRUE(runUntil([this] { return m_askingListener.announced > 0; }));
     constexpr Duration Applying = milliseconds(50);
     EXPECT_LE(m_askingListener.writtenAt, proved + Applying);
 }
@@ -361,13 +365,13 @@
 // on old weights after their deadline.
 TEST_F(StateFollowerTest, DatesLateAnswersByTheLastProof)
 {
-    m_store.passesOver = true;
+    m_store.missesWaitingCalls = true;
     m_reader.start();
     // The call directly follows another one, as in a node that has run for a while.
-    ASSERT_TRUE(reach([this] { return m_store.waitsBegun > 1 && m_store.waiting > 0; }));
+    ASSERT_TRUE(runUntil([this] { return m_store.waitsBegun > 1 && m_store.waiting > 0; }));
     const TimePoint before = BootClock::now();
     m_store.topics[StateTopic::Operator].push_back("version=2");
-    ASSERT_TRUE(reach([this] { return m_readerListener.named > 0; }));
+    ASSERT_TRUE(runUntil([this] { return m_readerListener.announced > 0; }));
     EXPECT_LE(m_readerListener.writtenAt, before);
     EXPECT_GT(m_readerListener.writtenAt, TimePoint::min());
 }
@@ -377,11 +381,11 @@
 TEST_F(StateFollowerTest, DatesRelistedRecordsByTheLastProof)
 {
     m_reader.start();
-    ASSERT_TRUE(reach([this] { return m_store.waiting > 0; }));
+    ASSERT_TRUE(runUntil([this] { return m_store.waiting > 0; }));
     const TimePoint before = BootClock::now();
     m_store.topics[StateTopic::Operator].push_back("version=2");
     m_store.isExpired = true;
-    ASSERT_TRUE(reach([this] { return m_readerListener.named > 0; }));
+    ASSERT_TRUE(runUntil([this] { return m_readerListener.announced > 0; }));
     EXPECT_LE(m_readerListener.writtenAt, before);
     EXPECT_GT(m_readerListener.writtenAt, TimePoint::min());
 }
@@ -390,12 +394,12 @@
 // misses the waiting call, although other nodes have read the record.
 TEST_F(StateFollowerTest, ReadsAgainWhenTheStoreMissesAWaitingCall)
 {
-    m_store.passesOver = true;
+    m_store.missesWaitingCalls = true;
     m_reader.start();
-    ASSERT_TRUE(reach([this] { return m_store.waiting > 0; }));
+    ASSERT_TRUE(runUntil([this] { return m_store.waiting > 0; }));
     m_store.topics[StateTopic::Operator].push_back("version=2");
     m_reader.receivedOperatorNext(1);
-    ASSERT_TRUE(reach([this] { return m_readerListener.named > 0; }));
+    ASSERT_TRUE(runUntil([this] { return m_readerListener.announced > 0; }));
     EXPECT_GT(m_store.waiting, 0) << "the missed call still waits";
     EXPECT_EQ(m_reader.operatorNext(), 1U);
 }
@@ -404,18 +408,18 @@
 // keep accepting a revoked key.
 TEST_F(StateFollowerTest, AcceptsNoProofWhileAPeerHasReadFurther)
 {
-    m_store.leavesOut = true;
+    m_store.omitsRecords = true;
     m_store.failsPlainReads = true;
     m_reader.start();
-    ASSERT_TRUE(reach([this] { return m_store.waiting > 0; }));
+    ASSERT_TRUE(runUntil([this] { return m_store.waiting > 0; }));
     m_store.topics[StateTopic::Operator].push_back("key taken away");
     m_reader.receivedOperatorNext(1);
-    const TimePoint heardAt = BootClock::now();
+    const TimePoint receivedAt = BootClock::now();
     const int calls = m_store.calls;
-    ASSERT_TRUE(reach([&] { return m_store.calls > calls + 4; }));
-    EXPECT_LT(m_readerListener.provedAt, heardAt);
-    m_store.leavesOut = false;
-    EXPECT_TRUE(reach([&] { return m_readerListener.provedAt > heardAt; }));
+    ASSERT_TRUE(runUntil([&] { return m_store.calls > calls + 4; }));
+    EXPECT_LT(m_readerListener.provedAt, receivedAt);
+    m_store.omitsRecords = false;
+    EXPECT_TRUE(runUntil([&] { return m_readerListener.provedAt > receivedAt; }));
 }
 
 // Guards against an offset from another node that the store never had: if it were accepted, no
@@ -423,10 +427,10 @@
 TEST_F(StateFollowerTest, DropsAPeersOffsetBeyondTheStoresEnd)
 {
     m_reader.start();
-    ASSERT_TRUE(reach([this] { return m_store.waiting > 0; }));
+    ASSERT_TRUE(runUntil([this] { return m_store.waiting > 0; }));
     m_reader.receivedOperatorNext(1000);
-    const TimePoint heardAt = BootClock::now();
-    EXPECT_TRUE(reach([&] { return m_readerListener.provedAt > heardAt; }));
+    const TimePoint receivedAt = BootClock::now();
+    EXPECT_TRUE(runUntil([&] { return m_readerListener.provedAt > receivedAt; }));
 }
 
 // Guards against calls in lockstep: all nodes begin their next call when a record arrives. With
@@ -434,16 +438,16 @@
 TEST_F(StateFollowerTest, VariesTheLengthOfWaits)
 {
     m_reader.start();
-    EXPECT_TRUE(reach([this] { return m_store.waits.size() > 2; }));
+    EXPECT_TRUE(runUntil([this] { return m_store.waits.size() > 2; }));
 }
 
 // Guards against nodes that start together and each list, append and list again.
 TEST_F(StateFollowerTest, ListsNodesOnlyOnce)
 {
     start();
-    ASSERT_TRUE(reachSharing());
+    ASSERT_TRUE(awaitAnswer());
     const TimePoint until = MonotonicClock::now() + milliseconds(2500);
-    ASSERT_TRUE(reach([until] { return MonotonicClock::now() >= until; }));
+    ASSERT_TRUE(runUntil([until] { return MonotonicClock::now() >= until; }));
     const auto lists = [this](const char *topic, const char *cause) {
         return m_metrics.counter(std::string("store_calls_total{call=\"list\",topic=\"") + topic
                                  + "\",cause=\"" + cause + "\"}");
@@ -458,13 +462,13 @@
 {
     m_store.topics[StateTopic::Backends] = {"e=1"};
     start();
-    ASSERT_TRUE(reachSharing());
+    ASSERT_TRUE(awaitAnswer());
     m_answered = 0;
-    ASSERT_TRUE(reachSharing());
-    m_store.isSilent = true;
+    ASSERT_TRUE(awaitAnswer());
+    m_store.isUnresponsive = true;
     const std::size_t before = m_asked.size();
     m_ownStore.topics[StateTopic::Operator].push_back("version=2");
-    ASSERT_TRUE(reach([this] { return m_askingListener.named > 0; }));
+    ASSERT_TRUE(runUntil([this] { return m_askingListener.announced > 0; }));
     EXPECT_LT(m_asked.size() - before, 5U) << "requests, one every 300 to 500 ms";
 }
 
--- a/src/vanilladyke/node/store_calls.cpp
+++ b/src/vanilladyke/node/store_calls.cpp
@@ -57,7 +57,7 @@
     if (now < m_nextLog || m_total == m_logged) {
         return;
     }
-    m_nextLog = now + LogEvery;
+    m_nextLog = now + LogInterval;
     m_logged = m_total;
     LogEvent line("store_calls");
     line.field("total", m_total);
