--- a/include/vanilladyke/node/load_sharing.hpp
+++ b/include/vanilladyke/node/load_sharing.hpp
@@ -33,8 +33,8 @@
     /// answers requests for updates.
     using NodeSeen = std::function<void(std::uint64_t, std::uint64_t, Endpoint)>;
 
-    /// @param questionsPort port on which this node answers requests of other nodes
-    LoadSharing(TrafficState &state, Endpoint listen, std::uint16_t questionsPort);
+    /// @param queriesPort port on which this node answers requests of other nodes
+    LoadSharing(TrafficState &state, Endpoint listen, std::uint16_t queriesPort);
 
     /// @brief Opens the port. @return an error message, or none on success
     [[nodiscard]] std::optional<std::string> open();
@@ -73,7 +73,7 @@
 
     TrafficState &m_state;
     SignedPort m_port;
-    std::uint16_t m_questionsPort;
+    std::uint16_t m_queriesPort;
     std::uint64_t m_self;
     std::uint64_t m_dataCentre; ///< hash of its name
     std::uint64_t m_sequence; ///< starts at the wall-clock time, so that a restart continues above
--- a/include/vanilladyke/node/peer_queries.hpp
+++ b/include/vanilladyke/node/peer_queries.hpp
@@ -31,7 +31,7 @@
 
 private:
     using Udp = SignedPort::Udp;
-    struct Waiting
+    struct PendingRequest
     {
         asio::steady_timer timer;
         std::optional<SharedUpdates> updates;
@@ -43,7 +43,8 @@
     const StateFollower &m_follower;
     Random m_random;
     SignedPort m_port;
-    std::unordered_map<std::uint64_t, std::shared_ptr<Waiting>> m_waiting; ///< by request number
+    /// By request number.
+    std::unordered_map<std::uint64_t, std::shared_ptr<PendingRequest>> m_pending;
 };
 
 } // namespace vanilladyke
--- a/include/vanilladyke/node/state_follower.hpp
+++ b/include/vanilladyke/node/state_follower.hpp
@@ -50,8 +50,8 @@
 {
 public:
     StateFollower(asio::io_context &context, RecordStore &store, const StateTranslator &translator,
-                  StateListener &listener, StoreCalls &calls, NodeIdentity self, FollowLimits terms,
-                  std::uint64_t seed);
+                  StateListener &listener, StoreCalls &calls, NodeIdentity self,
+                  FollowLimits limits, std::uint64_t seed);
 
     void start();
     void stop() { m_stopped = true; }
@@ -129,7 +129,7 @@
     StateListener &m_listener;
     StoreCalls &m_calls;
     NodeIdentity m_self;
-    FollowLimits m_terms;
+    FollowLimits m_limits;
     Random m_random;
     ReadingTurn m_readers;
     AskPeer m_ask;
--- a/include/vanilladyke/node/weights_controller.hpp
+++ b/include/vanilladyke/node/weights_controller.hpp
@@ -19,8 +19,8 @@
     std::function<void(const EngineId &, Duration)>
             loading; ///< engine and how long to send it no requests
     std::function<void(const EngineId &, const ModelId &, std::uint64_t)> loaded;
-    std::function<void(const WeightsAge &)>
-            receivedEarlier; ///< another node received the weights earlier
+    /// Another node received the weights earlier than this one.
+    std::function<void(const WeightsAge &)> receivedEarlier;
 };
 
 /// @brief Order lease, pacing and orders of one node. Runs on the control thread; the time is
@@ -48,13 +48,12 @@
     /// all receive each renewal cost more store calls than everything else that nodes do.
     static constexpr std::size_t LongPollingRanks = 2;
     static constexpr Duration LeasePollInterval = std::chrono::milliseconds(1000);
-    static constexpr std::size_t MaxLeasePollFactor =
-            5; ///< longest poll interval, in LeasePollInterval
+    static constexpr std::size_t MaxLeasePollFactor = 5; ///< times LeasePollInterval
     /// Delay between the claims of two ranks, so that the second one reads the record of the first.
     static constexpr Duration ClaimDelayPerRank = std::chrono::milliseconds(250);
     /// An order without effect for this long is sent again.
     static constexpr Duration OrderTimeout = std::chrono::seconds(8);
-    /// Interval at which a node that needs the lease logs the progress of the rollout.
+    /// Interval at which a node that needs the lease logs the rollout's progress.
     static constexpr Duration LogInterval = std::chrono::seconds(1);
 
     /// @brief A clock that keeps counting while the host is suspended. Answers arrive between steps
--- a/src/vanilladyke/node/load_sharing.cpp
+++ b/src/vanilladyke/node/load_sharing.cpp
@@ -109,10 +109,10 @@
 
 } // namespace
 
-LoadSharing::LoadSharing(TrafficState &state, Endpoint listen, std::uint16_t questionsPort)
+LoadSharing::LoadSharing(TrafficState &state, Endpoint listen, std::uint16_t queriesPort)
     : m_state(state)
     , m_port(state.context, std::move(listen))
-    , m_questionsPort(questionsPort)
+    , m_queriesPort(queriesPort)
     , m_self(state.settings.self)
     , m_dataCentre(hashOfName(state.settings.dataCentre.str()))
     , m_sequence(static_cast<std::uint64_t>(
@@ -158,8 +158,8 @@
     if (now < m_nextAt && !isUrgent) {
         return;
     }
-    const std::size_t stretch = std::max<std::size_t>(1, (peers + 1) / NodesAtFullRate);
-    m_nextAt = now + Interval * stretch;
+    const std::size_t intervalFactor = std::max<std::size_t>(1, (peers + 1) / NodesAtFullRate);
+    m_nextAt = now + Interval * intervalFactor;
     m_state.book.forgetSilentPeers(now);
     dropExpired(now);
     sendUpdate(now);
@@ -176,7 +176,7 @@
     message.set_node(m_self);
     message.set_data_centre(m_dataCentre);
     const bool reachesStore = m_state.configAge() < MaxProofAge;
-    message.set_questions_port(reachesStore ? m_questionsPort : 0);
+    message.set_questions_port(reachesStore ? m_queriesPort : 0);
     message.set_sequence(++m_sequence);
     message.set_address(m_port.listen().str());
     message.set_operator_next(m_state.operatorNext());
--- a/src/vanilladyke/node/peer_queries.cpp
+++ b/src/vanilladyke/node/peer_queries.cpp
@@ -60,18 +60,18 @@
         co_return std::nullopt;
     }
     wire::NodeMessage message;
-    const std::uint64_t question = m_random();
-    message.set_question(question);
+    const std::uint64_t requestId = m_random();
+    message.set_question(requestId);
     message.mutable_ask()->set_operator_next(operatorNext);
     message.mutable_ask()->set_backends_next(backendsNext);
-    const auto waiting = std::make_shared<Waiting>(
-            Waiting{asio::steady_timer(m_context, AnswerTimeout), std::nullopt});
-    m_waiting[question] = waiting;
+    const auto pending = std::make_shared<PendingRequest>(
+            PendingRequest{asio::steady_timer(m_context, AnswerTimeout), std::nullopt});
+    m_pending[requestId] = pending;
     m_port.send(message.SerializeAsString(), {*to});
     ErrorCode ignored;
-    co_await waiting->timer.async_wait(into(ignored));
-    m_waiting.erase(question);
-    co_return std::move(waiting->updates);
+    co_await pending->timer.async_wait(into(ignored));
+    m_pending.erase(requestId);
+    co_return std::move(pending->updates);
 }
 
 void PeerQueries::receive(std::string_view bytes, const Udp::endpoint &from)
@@ -90,11 +90,11 @@
         m_port.send(answer.SerializeAsString(), {from}); // without it the peer reads the store
         return;
     }
-    const auto waiting = m_waiting.find(message.question());
-    if (message.has_news() && waiting != m_waiting.end()) {
-        waiting->second->updates = SharedUpdates{read(message.news().configuration()),
+    const auto pending = m_pending.find(message.question());
+    if (message.has_news() && pending != m_pending.end()) {
+        pending->second->updates = SharedUpdates{read(message.news().configuration()),
                                                  read(message.news().backends())};
-        waiting->second->timer.cancel();
+        pending->second->timer.cancel();
     }
 }
 
--- a/src/vanilladyke/node/state_follower.cpp
+++ b/src/vanilladyke/node/state_follower.cpp
@@ -81,16 +81,16 @@
     return waitedFully ? sentAt + wait : sentAt;
 }
 
-Duration fractionOf(Duration span, double part)
+Duration fractionOf(Duration span, double fraction)
 {
-    return spanOfSeconds(secondsOf(span) * part);
+    return spanOfSeconds(secondsOf(span) * fraction);
 }
 
 } // namespace
 
 StateFollower::StateFollower(asio::io_context &context, RecordStore &store,
                              const StateTranslator &translator, StateListener &listener,
-                             StoreCalls &calls, NodeIdentity self, FollowLimits terms,
+                             StoreCalls &calls, NodeIdentity self, FollowLimits limits,
                              std::uint64_t seed)
     : m_context(context)
     , m_store(store)
@@ -98,7 +98,7 @@
     , m_listener(listener)
     , m_calls(calls)
     , m_self(std::move(self))
-    , m_terms(terms)
+    , m_limits(limits)
     , m_random(seed)
     , m_readers(m_self.hash, m_self.dataCentre)
 {}
@@ -205,8 +205,8 @@
     const auto isOld = [](const std::optional<RecordRelay::News> &topic, Duration oldest) {
         return topic && topic->age >= oldest;
     };
-    return isOld(updates.configuration, fractionOf(m_terms.apply, MaxPeerProofFraction))
-           || isOld(updates.backends, fractionOf(m_terms.drain, BackendsPollFraction));
+    return isOld(updates.configuration, fractionOf(m_limits.apply, MaxPeerProofFraction))
+           || isOld(updates.backends, fractionOf(m_limits.drain, BackendsPollFraction));
 }
 
 void StateFollower::mustRead(Topic *topic, const std::optional<RecordRelay::News> &updates,
@@ -282,9 +282,9 @@
             }
             continue;
         }
-        const bool isSettling =
-                BootClock::now() - m_listedAt < fractionOf(m_terms.apply, FreshListingFraction);
-        if (isSettling || isShared(m_operator, fractionOf(m_terms.apply, MaxPeerProofFraction))) {
+        const bool isFresh =
+                BootClock::now() - m_listedAt < fractionOf(m_limits.apply, FreshListingFraction);
+        if (isFresh || isShared(m_operator, fractionOf(m_limits.apply, MaxPeerProofFraction))) {
             co_await pause(AskInterval / 4);
             continue;
         }
@@ -319,7 +319,7 @@
 {
     // After a change the last proof is as old as the call that returned the change. A whole wait on
     // top would make it so old that all asking nodes read the store themselves.
-    const Duration longest = std::min(fractionOf(m_terms.apply, ReaderWaitFraction), OperatorWait);
+    const Duration longest = std::min(fractionOf(m_limits.apply, ReaderWaitFraction), OperatorWait);
     const Duration age = std::max(Duration::zero(), now - m_operator.provedAt);
     return std::max(longest - age, longest / 4);
 }
@@ -329,8 +329,8 @@
     const TimePoint sentAt = BootClock::now();
     const std::uint64_t from = m_operator.next;
     const Duration longest = readsForOthers() ? readerWait(sentAt) : OperatorWait;
-    const double part = MinWaitFraction + (1 - MinWaitFraction) * uniform(m_random);
-    const Duration wait = fractionOf(longest, part);
+    const double fraction = MinWaitFraction + (1 - MinWaitFraction) * uniform(m_random);
+    const Duration wait = fractionOf(longest, fraction);
     m_calls.count(StoreCall::Wait, StoreTopic::Operator, readCause(m_operator));
     m_operator.isReading = true;
     const auto page = co_await m_store.read(StateTopic::Operator, from, wait);
@@ -386,17 +386,17 @@
     m_isCatchingUp = true;
     co_await pause(MissedCallAfter);
     if (m_operator.isListed && m_operator.isReading && m_operator.next < m_receivedNext) {
-        const std::uint64_t heard = m_receivedNext;
+        const std::uint64_t received = m_receivedNext;
         const std::uint64_t from = m_operator.next;
         const TimePoint sentAt = BootClock::now();
-        LogEvent("operator_wait_passed_over").field("next", from).field("heard", heard);
+        LogEvent("operator_wait_passed_over").field("next", from).field("heard", received);
         m_calls.count(StoreCall::Read, StoreTopic::Operator, CallCause::PeerKnowsMore);
         const auto page = co_await m_store.read(StateTopic::Operator, from, Duration::zero());
-        if (page && page->end < heard) {
+        if (page && page->end < received) {
             LogEvent("heard_offset_wrong", Severity::Error)
-                    .field("heard", heard)
+                    .field("heard", received)
                     .field("end", page->end);
-            m_rejectedNext = heard;
+            m_rejectedNext = received;
             m_receivedNext = 0;
         }
         if (page) {
@@ -454,14 +454,15 @@
             }
             continue;
         }
-        const Duration limit = fractionOf(m_terms.drain, BackendsPollFraction);
+        const Duration limit = fractionOf(m_limits.drain, BackendsPollFraction);
         if (isShared(m_backends, limit)) {
             co_await pause(AskInterval / 4);
             continue;
         }
-        const double part = readsForOthers() ? ReaderBackendsPollFraction : BackendsPollFraction;
+        const double fraction =
+                readsForOthers() ? ReaderBackendsPollFraction : BackendsPollFraction;
         const Duration age = BootClock::now() - m_backends.provedAt;
-        const Duration rest = fractionOf(m_terms.drain, part) - age;
+        const Duration rest = fractionOf(m_limits.drain, fraction) - age;
         if (rest > Duration::zero()) {
             co_await pause(rest);
         }
