--- a/include/vanilladyke/node/load_sharing.hpp
+++ b/include/vanilladyke/node/load_sharing.hpp
@@ -25,8 +25,8 @@
     /// proportion, so that the number of datagrams per node and second stays the same.
     static constexpr Duration Interval = std::chrono::milliseconds(80);
     static constexpr std::size_t NodesAtFullRate = 9;
-    /// Upper bound for urgent updates: placements and changed engine states are sent at once, as
-    /// for a prompt with a prefill time of 100 ms.
+    /// Upper bound of the datagrams sent per second. Within it, the placement of a prompt with a
+    /// prefill time of 100 ms is sent at once.
     static constexpr std::int64_t MaxSendsPerSecond = 900;
 
     /// @brief A node was seen: hashes of its name and data centre, and the endpoint where it
--- a/include/vanilladyke/node/state_follower.hpp
+++ b/include/vanilladyke/node/state_follower.hpp
@@ -19,8 +19,8 @@
     Endpoint peers;               ///< where it receives datagrams of other nodes
 };
 
-/// @brief Records that another node has read from two offsets on; none of a topic: it can't send
-/// them.
+/// @brief Records read by another node, of each topic from a given offset on; none if that node
+/// can't send them.
 struct SharedUpdates
 {
     std::optional<RecordRelay::News> configuration;
--- a/include/vanilladyke/node/weights_controller.hpp
+++ b/include/vanilladyke/node/weights_controller.hpp
@@ -16,8 +16,8 @@
 /// @brief Callbacks by which the controller updates the traffic side.
 struct WeightsCallbacks
 {
-    std::function<void(const EngineId &, Duration)>
-            loading; ///< engine and how long to send it no requests
+    /// The engine loads weights: no requests are to be sent to it for this long.
+    std::function<void(const EngineId &, Duration)> loading;
     std::function<void(const EngineId &, const ModelId &, std::uint64_t)> loaded;
     /// Another node received the weights earlier than this one.
     std::function<void(const WeightsAge &)> receivedEarlier;
--- a/src/vanilladyke/node/weights_controller_test.cpp
+++ b/src/vanilladyke/node/weights_controller_test.cpp
@@ -115,7 +115,7 @@
     std::map<EngineId, Engine> m_engines;
 };
 
-/// The network path from one node to the engines. Calls to cut engines time out.
+/// The network path from one node to the engines. Calls to unreachable engines time out.
 class FakePath : public EngineOrders
 {
 public:
