--- a/src/vanilladyke/app/mechanism_switches.cpp
+++ b/src/vanilladyke/app/mechanism_switches.cpp
@@ -80,7 +80,7 @@
         traffic.quarantinesRequests = false;
         break;
     case Mechanism::SharedStoreReads:
-        settings->follow.asksOthers = false;
+        settings->follow.sharesStoreReads = false;
         break;
     }
 }
--- a/src/vanilladyke/app/node_command.cpp
+++ b/src/vanilladyke/app/node_command.cpp
@@ -11,7 +11,7 @@
 #include "vanilladyke/base/log.hpp"
 #include "vanilladyke/model/json_reader.hpp"
 #include "vanilladyke/node/load_sharing.hpp"
-#include "vanilladyke/node/peer_questions.hpp"
+#include "vanilladyke/node/peer_queries.hpp"
 
 #include <boost/asio/signal_set.hpp>
 
@@ -70,7 +70,7 @@
     {
         m_traffic.configAge = [this] { return m_control.proof().age(); };
         m_traffic.operatorNext = [this] { return m_follower.operatorNext(); };
-        FleetRetryLimits terms = settings.control.secondSends;
+        FleetRetryLimits terms = settings.control.fleetRetries;
         terms.nodes = NodesBeforeTheList;
         m_traffic.nodes = NodesBeforeTheList;
         m_traffic.retryBudget.setLimits(terms);
@@ -129,21 +129,21 @@
         m_traffic.onPeersChanged = [this](const std::vector<Endpoint> &peers) {
             m_sharing.setPeers(peers);
         };
-        m_traffic.notifyPeers = [this] { m_sharing.tellSoon(); };
-        m_sharing.heardNode = [this](std::uint64_t node, std::uint64_t centre, Endpoint endpoint) {
+        m_traffic.notifyPeers = [this] { m_sharing.sendSoon(); };
+        m_sharing.nodeSeen = [this](std::uint64_t node, std::uint64_t centre, Endpoint endpoint) {
             asio::post(m_controlContext, [this, node, centre, endpoint = std::move(endpoint)] {
-                m_follower.heardNode(node, centre, endpoint);
+                m_follower.nodeSeen(node, centre, endpoint);
             });
         };
-        m_sharing.heardOperatorNext = [this](std::uint64_t next) {
-            asio::post(m_controlContext, [this, next] { m_follower.heardOperatorNext(next); });
+        m_sharing.receivedOperatorNext = [this](std::uint64_t next) {
+            asio::post(m_controlContext, [this, next] { m_follower.receivedOperatorNext(next); });
         };
         m_control.standbyRank = [this] { return m_follower.standbyRank(); };
         m_control.otherNodes = [this] { return m_follower.otherNodes(); };
-        m_follower.fleetKeyKnown = [this](const std::string &key) {
+        m_follower.onFleetKey = [this](const std::string &key) {
             LogEvent("fleet_key_known").field("bytes", key.size());
             m_questions.setKey(key);
-            if (m_settings.follow.asksOthers) {
+            if (m_settings.follow.sharesStoreReads) {
                 m_follower.setAskPeer([this](Endpoint peer, std::uint64_t operatorNext,
                                              std::uint64_t backendsNext) {
                     return m_questions.ask(std::move(peer), operatorNext, backendsNext);
@@ -161,7 +161,7 @@
         LogEvent("stopping").field("signal", signal).field("open", m_traffic.openExchanges->size());
         m_stopAt = MonotonicClock::now();
         m_server.beginDrain();
-        asio::post(m_controlContext, [this] { m_control.handOver(); });
+        asio::post(m_controlContext, [this] { m_control.releaseLease(); });
         stepStop();
     }
 
@@ -195,7 +195,7 @@
         m_traffic.settings.keysValidFor = settings->traffic.keysValidFor;
         m_traffic.settings.failsClosed = settings->traffic.failsClosed;
         m_traffic.quarantine.setExempted(settings->traffic.releasedRequests);
-        FleetRetryLimits terms = settings->control.secondSends;
+        FleetRetryLimits terms = settings->control.fleetRetries;
         terms.nodes = m_traffic.nodes;
         m_traffic.retryBudget.setLimits(terms);
         LogEvent("reload").field("path", m_path).field("needs_start", needsStart);
@@ -233,7 +233,7 @@
     platform::StateStore m_state;
     platform::StateRecords m_records;
     StateFollower m_follower;
-    PeerQuestions m_questions;
+    PeerQueries m_questions;
     LoadSharing m_sharing;
     asio::signal_set m_signals;
     asio::signal_set m_hangup; ///< the settings file has changed
--- a/src/vanilladyke/node/control_plane.cpp
+++ b/src/vanilladyke/node/control_plane.cpp
@@ -7,18 +7,19 @@
 
 namespace {
 
-/// Orders are followed at this pace while there are any; without any, entries expire by it.
-constexpr Duration BusyStep = std::chrono::milliseconds(50);
-constexpr Duration IdleStep = std::chrono::milliseconds(250);
+/// Step interval while a rollout is pending. Without one, IdleStepInterval is enough to expire
+/// entries.
+constexpr Duration RolloutStepInterval = std::chrono::milliseconds(50);
+constexpr Duration IdleStepInterval = std::chrono::milliseconds(250);
 
 } // namespace
 
-void ProofOfAge::prove(TimePoint at)
+void FreshnessProof::renew(TimePoint at)
 {
     m_provedAt = at.time_since_epoch().count();
 }
 
-Duration ProofOfAge::age() const
+Duration FreshnessProof::age() const
 {
     const Duration::rep at = m_provedAt;
     return at == Never ? Duration::max() : BootClock::now().time_since_epoch() - Duration(at);
@@ -32,36 +33,36 @@
     , m_settings(std::move(settings))
     , m_random(seed)
     , m_calls(m_traffic.metrics)
-    , m_weights(m_settings.self, seed, m_settings.lease, m_roster, log, orders, newsForTraffic(),
+    , m_weights(m_settings.self, seed, m_settings.lease, m_roster, log, orders, weightsCallbacks(),
                 m_calls, &BootClock::now, m_settings.rollout, m_random)
     , m_keptCache(keptCache)
     , m_timer(context)
 {}
 
-WeightsNews ControlPlane::newsForTraffic()
+WeightsCallbacks ControlPlane::weightsCallbacks()
 {
-    WeightsNews news;
-    news.loading = [this](const EngineId &id, Duration span) {
-        tell([id, span](TrafficState &traffic) {
+    WeightsCallbacks callbacks;
+    callbacks.loading = [this](const EngineId &id, Duration span) {
+        postToTraffic([id, span](TrafficState &traffic) {
             traffic.tracker.startedLoading(id, MonotonicClock::now() + span);
             traffic.notifyPeers();
         });
     };
-    news.loaded = [this](const EngineId &id, const ModelId &model, std::uint64_t version) {
-        tell([id, model, version](TrafficState &traffic) {
+    callbacks.loaded = [this](const EngineId &id, const ModelId &model, std::uint64_t version) {
+        postToTraffic([id, model, version](TrafficState &traffic) {
             traffic.tracker.finishedLoading(id, model, version, MonotonicClock::now());
             traffic.notifyPeers();
         });
     };
-    news.aged = [this](const WeightsAge &weights) {
+    callbacks.receivedEarlier = [this](const WeightsAge &weights) {
         const TimePoint firstReceivedAt = MonotonicClock::now() - weights.age;
         const AnnouncedWeights named{weights.model,
                                      {weights.version, firstReceivedAt, firstReceivedAt}};
-        tell([named](TrafficState &traffic) {
+        postToTraffic([named](TrafficState &traffic) {
             traffic.recordWeightsDate(named, AnnouncementSource::Reported, "lease");
         });
     };
-    return news;
+    return callbacks;
 }
 
 void ControlPlane::start()
@@ -69,14 +70,14 @@
     schedule();
 }
 
-void ControlPlane::handOver()
+void ControlPlane::releaseLease()
 {
     m_weights.stop();
 }
 
 void ControlPlane::schedule()
 {
-    m_timer.expires_after(m_weights.isPending() ? BusyStep : IdleStep);
+    m_timer.expires_after(m_weights.isPending() ? RolloutStepInterval : IdleStepInterval);
     m_timer.async_wait([this](const ErrorCode &error) {
         if (!error) {
             step();
@@ -110,7 +111,7 @@
             .field("services", config.services.size())
             .field("customers", config.customers.size());
     auto table = std::make_shared<const RouteTable>(std::move(config));
-    tell([table](TrafficState &traffic) {
+    postToTraffic([table](TrafficState &traffic) {
         traffic.table = table;
         traffic.tracker.setTransferRates(table->transferRates());
         traffic.keptCache.setStores(table->keptStores());
@@ -122,24 +123,25 @@
     m_keptCache.follow(stores, *this);
 }
 
-void ControlPlane::weightsNamed(const ModelId &model, std::uint64_t version,
-                                std::optional<Duration> age)
+void ControlPlane::weightsAnnounced(const ModelId &model, std::uint64_t version,
+                                    std::optional<Duration> age)
 {
-    m_weights.weightsNamed(model, version, BootClock::now());
-    // Taken here: the traffic thread may come to it late.
+    m_weights.weightsAnnounced(model, version, BootClock::now());
+    // Read here, since the traffic thread may run the posted change late.
     const TimePoint now = MonotonicClock::now();
     if (age) {
         const AnnouncedWeights named{model, {version, now - *age, now}};
-        tell([named](TrafficState &traffic) {
+        postToTraffic([named](TrafficState &traffic) {
             traffic.recordWeightsDate(named, AnnouncementSource::Read, "record");
         });
         return;
     }
-    // A node that has just started can't tell how long ago; half of the time allowed is a guess
-    // that neither closes all engines on older weights at once nor keeps them open too long.
-    const TimePoint guess = now - m_traffic.settings.rates.oldWeightsPeriod / 2;
-    const AnnouncedWeights named{model, {version, guess, guess}};
-    tell([named](TrafficState &traffic) {
+    // A node that has just started has no bound on the age. It assumes half of the time for which
+    // older weights may be used: that neither excludes all engines on older weights at once nor
+    // keeps them available too long.
+    const TimePoint estimate = now - m_traffic.settings.rates.oldWeightsPeriod / 2;
+    const AnnouncedWeights named{model, {version, estimate, estimate}};
+    postToTraffic([named](TrafficState &traffic) {
         traffic.recordWeightsDate(named, AnnouncementSource::Estimated, "guess");
     });
 }
@@ -148,22 +150,22 @@
 {
     const EngineId id = entry.id;
     const bool isDraining = entry.isDraining;
-    const bool isNews = m_roster.put(std::move(entry), BootClock::now());
-    if (isNews) {
+    const bool isChanged = m_roster.put(std::move(entry), BootClock::now());
+    if (isChanged) {
         LogEvent("backend_changed")
                 .field("backend", id.str())
                 .field("draining", isDraining)
                 .field("known", m_roster.size());
         publishBackends();
     }
-    return isNews;
+    return isChanged;
 }
 
-void ControlPlane::backendGone(const EngineId &id)
+void ControlPlane::backendRemoved(const EngineId &id)
 {
-    const bool isOut = m_roster.remove(id, BootClock::now());
-    LogEvent("backend_gone").field("backend", id.str()).field("at_once", isOut);
-    if (isOut) {
+    const bool isRemoved = m_roster.remove(id, BootClock::now());
+    LogEvent("backend_gone").field("backend", id.str()).field("at_once", isRemoved);
+    if (isRemoved) {
         publishBackends();
     }
 }
@@ -181,7 +183,7 @@
         m_storeIsDown = false;
         LogEvent("store_regained").field("proof_age_ms", m_proof.age());
     }
-    m_proof.prove(sentAt);
+    m_proof.renew(sentAt);
 }
 
 void ControlPlane::storeFailed()
@@ -195,9 +197,9 @@
 
 void ControlPlane::nodesListed(std::vector<Endpoint> peers)
 {
-    FleetRetryLimits terms = m_settings.secondSends;
+    FleetRetryLimits terms = m_settings.fleetRetries;
     terms.nodes = std::max<std::size_t>(peers.size(), 1);
-    tell([terms, peers = std::move(peers)](TrafficState &traffic) {
+    postToTraffic([terms, peers = std::move(peers)](TrafficState &traffic) {
         traffic.nodes = terms.nodes;
         traffic.retryBudget.setLimits(terms);
         if (traffic.onPeersChanged) {
@@ -208,12 +210,12 @@
 
 void ControlPlane::keptCacheReset(const Endpoint &store, KeptCacheState state)
 {
-    tell([store, state](TrafficState &traffic) { traffic.keptCache.reset(store, state); });
+    postToTraffic([store, state](TrafficState &traffic) { traffic.keptCache.reset(store, state); });
 }
 
 void ControlPlane::keptCacheChanged(const Endpoint &store, std::vector<KeptPart> parts)
 {
-    tell([store, parts = std::move(parts)](TrafficState &traffic) {
+    postToTraffic([store, parts = std::move(parts)](TrafficState &traffic) {
         for (const KeptPart &each : parts) {
             traffic.keptCache.changed(store, each.salt, each.part, each.tokens);
         }
@@ -234,7 +236,7 @@
 
 void ControlPlane::publishNow()
 {
-    tell([serving = m_roster.serving()](TrafficState &traffic) {
+    postToTraffic([serving = m_roster.serving()](TrafficState &traffic) {
         traffic.tracker.setBackends(serving);
         traffic.pool.closeStale([&](const EngineId &id) { return traffic.tracker.contains(id); },
                                 MonotonicClock::now());
--- a/src/vanilladyke/node/load_sharing.cpp
+++ b/src/vanilladyke/node/load_sharing.cpp
@@ -11,27 +11,27 @@
 
 namespace {
 
-/// A datagram holds so many servers at most; with more, the busiest are told.
-constexpr std::size_t MostBackends = 1000;
+/// Most servers in one datagram; with more, the busiest are sent.
+constexpr std::size_t MaxBackends = 1000;
 
-/// Requests under which engines ended, in one datagram.
-constexpr std::size_t MostQuarantined = 40;
+/// Most quarantine updates (requests during which engines terminated) in one datagram.
+constexpr std::size_t MaxQuarantined = 40;
 
-/// Engines that name limits, in one datagram.
-constexpr std::size_t MostLimits = 200;
+/// Most engines with rate limits in one datagram.
+constexpr std::size_t MaxLimits = 200;
 
-/// A node whose proof of the configuration is older does nothing for others.
-constexpr Duration OldestProof = std::chrono::milliseconds(3500);
+/// A node whose freshness proof of the configuration is older answers no requests of other nodes.
+constexpr Duration MaxProofAge = std::chrono::milliseconds(3500);
 
-/// What is known of named weights changes a few times a minute; a node that starts hears it within
-/// this time, or twice if a datagram is lost.
-constexpr Duration TellWeightsEvery = std::chrono::milliseconds(400);
+/// Announced weights change a few times a minute. A starting node receives them within this time,
+/// or within twice this time if a datagram is lost.
+constexpr Duration WeightsInterval = std::chrono::milliseconds(400);
 
-/// Ages in milliseconds end here; nothing is decided by older ones.
-constexpr Duration OldestTold = std::chrono::hours(24);
+/// Cap of the ages that are sent; no decision depends on higher ones.
+constexpr Duration MaxSentAge = std::chrono::hours(24);
 
-/// The control thread needs to hear no more often that a node lives.
-constexpr Duration PassOnEvery = std::chrono::seconds(1);
+/// Interval at which a live node is reported to the control thread.
+constexpr Duration ReportInterval = std::chrono::seconds(1);
 
 std::uint32_t millis(Duration span)
 {
@@ -43,9 +43,9 @@
 {
     out->set_model(weights.model.str());
     out->set_version(weights.date.version);
-    // Rounded up: the receiver's bound must not be later than this node's.
-    out->set_named_age_ms(millis(std::min(now - weights.date.announcedAfter, OldestTold)) + 1);
-    out->set_known_age_ms(millis(std::min(now - weights.date.firstReceivedAt, OldestTold)));
+    // Rounded up, so that the receiver's deadline isn't later than this node's.
+    out->set_named_age_ms(millis(std::min(now - weights.date.announcedAfter, MaxSentAge)) + 1);
+    out->set_known_age_ms(millis(std::min(now - weights.date.firstReceivedAt, MaxSentAge)));
 }
 
 AnnouncedWeights read(const wire::NamedWeights &weights, TimePoint now)
@@ -55,14 +55,14 @@
              now - std::chrono::milliseconds(weights.known_age_ms())}};
 }
 
-void write(const QuarantineUpdate &news, wire::QuarantinedRequest *request)
+void write(const QuarantineUpdate &update, wire::QuarantinedRequest *request)
 {
-    request->set_digest_high(news.digest.high);
-    request->set_digest_low(news.digest.low);
-    request->set_customer(news.customer);
-    request->set_is_answered(news.answeredAge.has_value());
-    request->set_answered_age_ms(millis(news.answeredAge.value_or(Duration::zero())));
-    for (const QuarantineUpdate::End &end : news.ends) {
+    request->set_digest_high(update.digest.high);
+    request->set_digest_low(update.digest.low);
+    request->set_customer(update.customer);
+    request->set_is_answered(update.answeredAge.has_value());
+    request->set_answered_age_ms(millis(update.answeredAge.value_or(Duration::zero())));
+    for (const QuarantineUpdate::End &end : update.ends) {
         wire::QuarantinedRequest::End *each = request->add_ends();
         each->set_engine(end.engine);
         each->set_age_ms(millis(end.age));
@@ -70,49 +70,49 @@
     }
 }
 
-void write(const LimitUpdate &news, wire::BackendLimit *limit)
+void write(const LimitUpdate &update, wire::BackendLimit *limit)
 {
-    limit->set_backend(news.backend);
-    limit->set_is_observed(news.isObserved);
-    limit->set_is_named(news.perSecond.has_value());
-    limit->set_per_second(news.perSecond.value_or(0));
-    limit->set_age_ms(millis(news.age));
-    limit->set_sent(news.sent);
+    limit->set_backend(update.backend);
+    limit->set_is_observed(update.isObserved);
+    limit->set_is_named(update.perSecond.has_value());
+    limit->set_per_second(update.perSecond.value_or(0));
+    limit->set_age_ms(millis(update.age));
+    limit->set_sent(update.sent);
 }
 
 LimitUpdate read(const wire::BackendLimit &limit)
 {
-    LimitUpdate news;
-    news.backend = limit.backend();
-    news.isObserved = limit.is_observed();
+    LimitUpdate update;
+    update.backend = limit.backend();
+    update.isObserved = limit.is_observed();
     if (limit.is_named()) {
-        news.perSecond = limit.per_second();
+        update.perSecond = limit.per_second();
     }
-    news.age = std::chrono::milliseconds(limit.age_ms());
-    news.sent = limit.sent();
-    return news;
+    update.age = std::chrono::milliseconds(limit.age_ms());
+    update.sent = limit.sent();
+    return update;
 }
 
 QuarantineUpdate read(const wire::QuarantinedRequest &request)
 {
-    QuarantineUpdate news{
+    QuarantineUpdate update{
             {request.digest_high(), request.digest_low()}, request.customer(), std::nullopt, {}};
     if (request.is_answered()) {
-        news.answeredAge = std::chrono::milliseconds(request.answered_age_ms());
+        update.answeredAge = std::chrono::milliseconds(request.answered_age_ms());
     }
     for (const wire::QuarantinedRequest::End &end : request.ends()) {
-        news.ends.push_back(
+        update.ends.push_back(
                 {end.engine(), std::chrono::milliseconds(end.age_ms()), end.had_just_begun()});
     }
-    return news;
+    return update;
 }
 
 } // namespace
 
-LoadSharing::LoadSharing(TrafficState &state, Endpoint listen, std::uint16_t questionsPort)
+LoadSharing::LoadSharing(TrafficState &state, Endpoint listen, std::uint16_t queriesPort)
     : m_state(state)
     , m_port(state.context, std::move(listen))
-    , m_questionsPort(questionsPort)
+    , m_queriesPort(queriesPort)
     , m_self(state.settings.self)
     , m_dataCentre(hashOfName(state.settings.dataCentre.str()))
     , m_sequence(static_cast<std::uint64_t>(
@@ -123,14 +123,14 @@
 std::optional<std::string> LoadSharing::open()
 {
     return m_port.open(
-            [this](std::string_view bytes, const Udp::endpoint &from) { take(bytes, from); });
+            [this](std::string_view bytes, const Udp::endpoint &from) { receive(bytes, from); });
 }
 
 void LoadSharing::setPeers(const std::vector<Endpoint> &peers)
 {
     std::vector<Udp::endpoint> addresses;
     for (const Endpoint &peer : peers) {
-        const auto address = SealedPort::addressOf(peer);
+        const auto address = SignedPort::addressOf(peer);
         if (address && peer != m_port.listen()) {
             addresses.push_back(*address);
         }
@@ -151,42 +151,42 @@
         return;
     }
     const Duration spacing =
-            std::max<Duration>(Interval, std::chrono::seconds(peers) / MostSendsPerSecond);
-    const bool hasNews =
-            m_hasUrgentNews || m_state.tracker.hasPlacements() || m_state.quarantine.hasUpdates();
-    const bool isUrgent = hasNews && now - m_toldAt >= spacing;
+            std::max<Duration>(Interval, std::chrono::seconds(peers) / MaxSendsPerSecond);
+    const bool hasUpdates =
+            m_hasUrgentUpdate || m_state.tracker.hasPlacements() || m_state.quarantine.hasUpdates();
+    const bool isUrgent = hasUpdates && now - m_sentAt >= spacing;
     if (now < m_nextAt && !isUrgent) {
         return;
     }
-    const std::size_t stretch = std::max<std::size_t>(1, (peers + 1) / NodesAtFullRate);
-    m_nextAt = now + Interval * stretch;
+    const std::size_t intervalFactor = std::max<std::size_t>(1, (peers + 1) / NodesAtFullRate);
+    m_nextAt = now + Interval * intervalFactor;
     m_state.tracker.dropExpiredPeers(now);
-    forgetSilent(now);
-    tell(now);
+    dropExpired(now);
+    sendUpdate(now);
 }
 
-void LoadSharing::tell(TimePoint now)
+void LoadSharing::sendUpdate(TimePoint now)
 {
     if (!m_port.isReady()) {
         return;
     }
-    m_toldAt = now;
-    m_hasUrgentNews = false;
+    m_sentAt = now;
+    m_hasUrgentUpdate = false;
     wire::NodeLoad message;
     message.set_node(m_self);
     message.set_data_centre(m_dataCentre);
-    const bool reachesStore = m_state.configAge() < OldestProof;
-    message.set_questions_port(reachesStore ? m_questionsPort : 0);
+    const bool reachesStore = m_state.configAge() < MaxProofAge;
+    message.set_questions_port(reachesStore ? m_queriesPort : 0);
     message.set_sequence(++m_sequence);
     message.set_address(m_port.listen().str());
     message.set_operator_next(m_state.operatorNext());
-    if (now >= m_weightsToldAt + TellWeightsEvery) {
-        m_weightsToldAt = now;
+    if (now >= m_weightsSentAt + WeightsInterval) {
+        m_weightsSentAt = now;
         for (const AnnouncedWeights &each : m_state.tracker.announcedWeights()) {
             write(each, now, message.add_named_weights());
         }
     }
-    for (const BackendLoadUpdate &each : m_state.tracker.ownLoad(MostBackends, now)) {
+    for (const BackendLoadUpdate &each : m_state.tracker.ownLoad(MaxBackends, now)) {
         wire::BackendLoad *load = message.add_backends();
         load->set_backend(each.backend);
         const bool isIdle = each.backlog.total() <= Millis::zero();
@@ -208,11 +208,11 @@
         placement->set_wanted(each.wanted);
     }
     for (const QuarantineUpdate &each : m_state.quarantine.collectUpdates(
-                 m_routes.size() + 1, MostQuarantined, now, m_state.random)) {
+                 m_routes.size() + 1, MaxQuarantined, now, m_state.random)) {
         write(each, message.add_quarantined());
     }
     std::vector<LimitUpdate> limits = m_state.tracker.ownLimits(now);
-    limits.resize(std::min(limits.size(), MostLimits));
+    limits.resize(std::min(limits.size(), MaxLimits));
     for (const LimitUpdate &each : limits) {
         write(each, message.add_limits());
     }
@@ -222,68 +222,68 @@
     m_port.send(message.SerializeAsString(), recipients.forwarders);
 }
 
-void LoadSharing::passOn(wire::NodeLoad message)
+void LoadSharing::forward(wire::NodeLoad message)
 {
     message.set_pass_on(false);
     m_port.send(message.SerializeAsString(), m_routes.inSameDataCentre());
 }
 
-void LoadSharing::forgetSilent(TimePoint now)
+void LoadSharing::dropExpired(TimePoint now)
 {
-    std::erase_if(m_heard, [now](const auto &item) { return now - item.second.at > HeardLife; });
+    std::erase_if(m_peers, [now](const auto &item) { return now - item.second.at > PeerExpiry; });
 }
 
-void LoadSharing::take(std::string_view bytes, const Udp::endpoint &from)
+void LoadSharing::receive(std::string_view bytes, const Udp::endpoint &from)
 {
     wire::NodeLoad message;
     if (!message.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
         m_state.metrics.count("peer_datagrams_unreadable_total");
         return;
     }
-    Endpoint told;
-    const bool isTold = parseEndpoint(message.address(), &told);
-    const auto origin = isTold ? SealedPort::addressOf(told) : std::optional(from);
+    Endpoint address;
+    const bool hasAddress = parseEndpoint(message.address(), &address);
+    const auto origin = hasAddress ? SignedPort::addressOf(address) : std::optional(from);
     if (!origin) {
         m_state.metrics.count("peer_datagrams_unreadable_total");
         return;
     }
-    Heard &heard = m_heard[message.node()];
-    if (message.node() == m_self || message.sequence() <= heard.sequence) {
+    Peer &peer = m_peers[message.node()];
+    if (message.node() == m_self || message.sequence() <= peer.sequence) {
         return;
     }
     const TimePoint now = MonotonicClock::now();
-    heard.sequence = message.sequence();
-    heard.at = now;
+    peer.sequence = message.sequence();
+    peer.at = now;
     if (m_routes.nodeSeen(*origin, message.data_centre(), now)) {
-        countPeers(); // it came after the list was read
+        countPeers(); // it started after the list was read
     }
     if (message.pass_on()) {
-        passOn(message);
+        forward(message);
     }
-    if (message.questions_port() != 0 && now >= heard.passedOnAt + PassOnEvery) {
-        heard.passedOnAt = now;
-        heardNode(message.node(), message.data_centre(),
-                  {origin->address().to_string(),
-                   static_cast<std::uint16_t>(message.questions_port())});
+    if (message.questions_port() != 0 && now >= peer.reportedAt + ReportInterval) {
+        peer.reportedAt = now;
+        nodeSeen(message.node(), message.data_centre(),
+                 {origin->address().to_string(),
+                  static_cast<std::uint16_t>(message.questions_port())});
     }
-    if (message.operator_next() > m_heardOperatorNext) {
-        m_heardOperatorNext = message.operator_next();
-        heardOperatorNext(m_heardOperatorNext);
+    if (message.operator_next() > m_highestOperatorNext) {
+        m_highestOperatorNext = message.operator_next();
+        receivedOperatorNext(m_highestOperatorNext);
     }
     for (const wire::NamedWeights &each : message.named_weights()) {
         m_state.recordWeightsDate(read(each, now), AnnouncementSource::Reported, "peer");
     }
-    std::vector<BackendLoadUpdate> news;
-    news.reserve(static_cast<std::size_t>(message.backends_size()));
+    std::vector<BackendLoadUpdate> updates;
+    updates.reserve(static_cast<std::size_t>(message.backends_size()));
     for (const wire::BackendLoad &load : message.backends()) {
         PrefillBacklog waiting;
         for (int urgency = 0; urgency < load.waiting_ms_size(); ++urgency) {
             waiting.add(urgency, Millis(load.waiting_ms(urgency)));
         }
-        news.push_back({load.backend(), waiting, static_cast<int>(load.in_flight()),
-                        std::chrono::milliseconds(load.loading_ms()), load.weights()});
+        updates.push_back({load.backend(), waiting, static_cast<int>(load.in_flight()),
+                           std::chrono::milliseconds(load.loading_ms()), load.weights()});
     }
-    m_state.tracker.receivedLoad(message.node(), news, now);
+    m_state.tracker.receivedLoad(message.node(), updates, now);
     std::vector<PlacementUpdate> placements;
     placements.reserve(static_cast<std::size_t>(message.placements_size()));
     for (const wire::Placement &each : message.placements()) {
@@ -295,21 +295,21 @@
     }
     m_state.tracker.receivedPlacements(placements, now);
     if (message.limits_size() > 0) {
-        takeLimits(message, now);
+        applyLimits(message, now);
     }
     if (message.quarantined_size() > 0) {
-        takeQuarantined(message, now);
+        applyQuarantined(message, now);
     }
 }
 
-void LoadSharing::takeLimits(const wire::NodeLoad &message, TimePoint now)
+void LoadSharing::applyLimits(const wire::NodeLoad &message, TimePoint now)
 {
-    std::vector<LimitUpdate> news;
-    news.reserve(static_cast<std::size_t>(message.limits_size()));
+    std::vector<LimitUpdate> updates;
+    updates.reserve(static_cast<std::size_t>(message.limits_size()));
     for (const wire::BackendLimit &each : message.limits()) {
-        news.push_back(read(each));
+        updates.push_back(read(each));
     }
-    for (const EngineId &changed : m_state.tracker.receivedLimits(message.node(), news, now)) {
+    for (const EngineId &changed : m_state.tracker.receivedLimits(message.node(), updates, now)) {
         const std::optional<double> limit = m_state.tracker.limitOf(changed);
         LogEvent("engine_limit")
                 .field("backend", changed.str())
@@ -320,14 +320,14 @@
     }
 }
 
-void LoadSharing::takeQuarantined(const wire::NodeLoad &message, TimePoint now)
+void LoadSharing::applyQuarantined(const wire::NodeLoad &message, TimePoint now)
 {
-    std::vector<QuarantineUpdate> news;
-    news.reserve(static_cast<std::size_t>(message.quarantined_size()));
+    std::vector<QuarantineUpdate> updates;
+    updates.reserve(static_cast<std::size_t>(message.quarantined_size()));
     for (const wire::QuarantinedRequest &each : message.quarantined()) {
-        news.push_back(read(each));
+        updates.push_back(read(each));
     }
-    for (const WorkDigest &held : m_state.quarantine.applyUpdates(news, now)) {
+    for (const WorkDigest &held : m_state.quarantine.applyUpdates(updates, now)) {
         Exchange::withdrawQuarantined(m_state, held);
     }
 }
--- a/src/vanilladyke/node/sealed_port.cpp
+++ b/src/vanilladyke/node/signed_port.cpp
@@ -1,25 +1,25 @@
-#include "vanilladyke/node/sealed_port.hpp"
+#include "vanilladyke/node/signed_port.hpp"
 
 namespace vanilladyke {
 
-SealedPort::SealedPort(asio::io_context &context, Endpoint listen)
+SignedPort::SignedPort(asio::io_context &context, Endpoint listen)
     : m_context(context)
     , m_listen(std::move(listen))
     , m_socket(context)
 {}
 
-std::optional<SealedPort::Udp::endpoint> SealedPort::addressOf(const Endpoint &endpoint)
+std::optional<SignedPort::Udp::endpoint> SignedPort::addressOf(const Endpoint &endpoint)
 {
     ErrorCode error;
     const auto address = asio::ip::make_address(endpoint.host, error);
     return error ? std::nullopt : std::optional(Udp::endpoint(address, endpoint.port));
 }
 
-std::optional<std::string> SealedPort::open(Receiver receiver)
+std::optional<std::string> SignedPort::open(Receiver receiver)
 {
     const auto endpoint = addressOf(m_listen);
     if (!endpoint) {
-        return m_listen.str() + ": no IP number";
+        return m_listen.str() + ": not an IP address";
     }
     ErrorCode error;
     m_socket.open(endpoint->protocol(), error);
@@ -35,19 +35,19 @@
     return std::nullopt;
 }
 
-void SealedPort::send(std::string_view message, const std::vector<Udp::endpoint> &to)
+void SignedPort::send(std::string_view message, const std::vector<Udp::endpoint> &to)
 {
     if (!isReady()) {
         return;
     }
-    const std::string datagram = m_seal.seal(message);
+    const std::string datagram = m_signer.sign(message);
     for (const Udp::endpoint &each : to) {
         ErrorCode ignored;
         m_socket.send_to(asio::buffer(datagram), each, 0, ignored);
     }
 }
 
-asio::awaitable<void> SealedPort::receive()
+asio::awaitable<void> SignedPort::receive()
 {
     for (;;) {
         ErrorCode error;
@@ -57,7 +57,7 @@
         if (!m_socket.is_open()) {
             co_return;
         }
-        const auto message = m_seal.open({m_buffer.data(), error ? 0 : size});
+        const auto message = m_signer.verify({m_buffer.data(), error ? 0 : size});
         if (message) {
             m_receiver(*message, from);
         }
--- a/src/vanilladyke/node/weights_controller_test.cpp
+++ b/src/vanilladyke/node/weights_controller_test.cpp
@@ -12,19 +12,19 @@
 
 const ModelId llmModel("m");
 
-/// A log that takes every append at its end at once.
-class OpenLog : public LeaseLog
+/// A log that accepts each append at its end at once.
+class MemoryLeaseLog : public LeaseLog
 {
 public:
     void append(const LeaseAppend &append,
-                std::function<void(AppendEnd, std::uint64_t end)> done) override
+                std::function<void(LeaseAppendResult, std::uint64_t end)> done) override
     {
         if (append.at != m_end) {
-            done(AppendEnd::Refused, m_end);
+            done(LeaseAppendResult::Refused, m_end);
             return;
         }
         m_last = append.record;
-        done(AppendEnd::Taken, ++m_end);
+        done(LeaseAppendResult::Accepted, ++m_end);
     }
 
     void read(std::optional<std::uint64_t> /*known*/,
@@ -50,14 +50,14 @@
     std::optional<LeaseRecord> m_last;
 };
 
-/// Engines that end their runs, load, and then have the weights that they were ordered.
-class TrialEngines : public EngineOrders
+/// Simulated engines that finish their running requests, then load the ordered weights.
+class FakeEngines : public EngineOrders
 {
 public:
     static constexpr Duration Runs = milliseconds(1400);
     static constexpr Duration Load = milliseconds(430);
 
-    explicit TrialEngines(const TimePoint &now)
+    explicit FakeEngines(const TimePoint &now)
         : m_now(now)
     {}
 
@@ -74,23 +74,23 @@
     }
 
     void order(const BackendEntry &engine, const WeightsOrder &order,
-               std::function<void(OrderEnd)> done) override
+               std::function<void(OrderResult)> done) override
     {
         ordered.push_back(order.version);
-        if (silent.contains(engine.id)) {
-            done(OrderEnd::Unknown);
+        if (losesOrders.contains(engine.id)) {
+            done(OrderResult::Unknown);
             return;
         }
         Engine &state = stateOf(engine.id);
         ++state.accepted;
         state.next = order.version;
         state.loadedAt = m_now + Runs + Load;
-        done(OrderEnd::Accepted);
+        done(OrderResult::Accepted);
     }
 
     [[nodiscard]] std::uint64_t versionOf(const EngineId &id) { return stateOf(id).version; }
 
-    std::set<EngineId> silent; ///< lose every order
+    std::set<EngineId> losesOrders; ///< engines that lose every order
     std::vector<std::uint64_t> ordered;
 
 private:
@@ -115,13 +115,13 @@
     std::map<EngineId, Engine> m_engines;
 };
 
-/// The way from one node to the engines. What is cut gets no answer, after a while.
-class TrialPath : public EngineOrders
+/// The network path from one node to the engines. Calls to unreachable engines time out.
+class FakePath : public EngineOrders
 {
 public:
-    static constexpr Duration Patience = milliseconds(600);
+    static constexpr Duration AnswerTimeout = milliseconds(600);
 
-    TrialPath(const TimePoint &now, TrialEngines &engines)
+    FakePath(const TimePoint &now, FakeEngines &engines)
         : m_now(now)
         , m_engines(engines)
     {}
@@ -129,18 +129,18 @@
     void report(const BackendEntry &engine,
                 std::function<void(std::optional<EngineReport>)> done) override
     {
-        if (cut.contains(engine.id)) {
-            m_late.emplace(m_now + Patience, [done] { done(std::nullopt); });
+        if (unreachable.contains(engine.id)) {
+            m_timeouts.emplace(m_now + AnswerTimeout, [done] { done(std::nullopt); });
             return;
         }
         m_engines.report(engine, done);
     }
 
     void order(const BackendEntry &engine, const WeightsOrder &order,
-               std::function<void(OrderEnd)> done) override
+               std::function<void(OrderResult)> done) override
     {
-        if (cut.contains(engine.id)) {
-            m_late.emplace(m_now + Patience, [done] { done(OrderEnd::Unknown); });
+        if (unreachable.contains(engine.id)) {
+            m_timeouts.emplace(m_now + AnswerTimeout, [done] { done(OrderResult::Unknown); });
             return;
         }
         m_engines.order(engine, order, done);
@@ -148,19 +148,19 @@
 
     void step()
     {
-        while (!m_late.empty() && m_late.begin()->first <= m_now) {
-            const auto done = m_late.begin()->second;
-            m_late.erase(m_late.begin());
+        while (!m_timeouts.empty() && m_timeouts.begin()->first <= m_now) {
+            const auto done = m_timeouts.begin()->second;
+            m_timeouts.erase(m_timeouts.begin());
             done();
         }
     }
 
-    std::set<EngineId> cut;
+    std::set<EngineId> unreachable;
 
 private:
     const TimePoint &m_now;
-    TrialEngines &m_engines;
-    std::multimap<TimePoint, std::function<void()>> m_late;
+    FakeEngines &m_engines;
+    std::multimap<TimePoint, std::function<void()>> m_timeouts;
 };
 
 class WeightsControllerTest : public testing::Test
@@ -183,11 +183,11 @@
 
     std::unique_ptr<WeightsController> controller(const std::string &name, EngineOrders &orders)
     {
-        const WeightsNews news{[](const EngineId &, Duration) {},
-                               [](const EngineId &, const ModelId &, std::uint64_t) {},
-                               [](const WeightsAge &) {}};
+        const WeightsCallbacks callbacks{[](const EngineId &, Duration) {},
+                                         [](const EngineId &, const ModelId &, std::uint64_t) {},
+                                         [](const WeightsAge &) {}};
         return std::make_unique<WeightsController>(
-                name, 1, LeaseTerms(), m_roster, m_log, orders, news, m_calls,
+                name, 1, LeaseTerms(), m_roster, m_log, orders, callbacks, m_calls,
                 [this] { return m_now; }, RolloutTerms{milliseconds(8000)}, m_random);
     }
 
@@ -206,8 +206,8 @@
         }
     }
 
-    /// A node that reaches all engines waits behind the first one.
-    void withSecondNode()
+    /// Adds a standby node that reaches all engines.
+    void addSecondNode()
     {
         m_second = controller("second", m_engines);
         m_second->setStandbyRank(1);
@@ -215,22 +215,23 @@
         m_second->setOtherNodes(1);
     }
 
-    /// The holder hands on within the longest silence, and another one brings them all.
-    void expectAllBroughtThoughTheHolderReachesOnly(int engines)
+    /// Expects the holder to release the lease within the time limit for unreachable engines, and
+    /// the second node to update all engines.
+    void expectAllUpdatedThoughHolderReachesOnly(int engines)
     {
-        withSecondNode();
+        addSecondNode();
         for (int i = engines; i < Engines; ++i) {
-            m_path.cut.insert(idOf(i));
+            m_path.unreachable.insert(idOf(i));
         }
-        nameForBoth(2);
-        stepFor(EngineReachability::UnreachableAfter + 2 * TrialPath::Patience + WholeRollout);
+        announceToBoth(2);
+        stepFor(EngineReachability::UnreachableAfter + 2 * FakePath::AnswerTimeout + WholeRollout);
         EXPECT_EQ(onVersion(2), Engines);
     }
 
-    void nameForBoth(std::uint64_t version)
+    void announceToBoth(std::uint64_t version)
     {
-        m_controller->weightsNamed(llmModel, version, m_now);
-        m_second->weightsNamed(llmModel, version, m_now);
+        m_controller->weightsAnnounced(llmModel, version, m_now);
+        m_second->weightsAnnounced(llmModel, version, m_now);
     }
 
     [[nodiscard]] int onVersion(std::uint64_t version)
@@ -247,140 +248,141 @@
     Metrics m_metrics;
     StoreCalls m_calls{m_metrics};
     BackendRoster m_roster;
-    OpenLog m_log;
-    TrialEngines m_engines{m_now};
-    TrialPath m_path{m_now, m_engines}; ///< of the first node
+    MemoryLeaseLog m_log;
+    FakeEngines m_engines{m_now};
+    FakePath m_path{m_now, m_engines}; ///< path of the first node
     std::unique_ptr<WeightsController> m_controller;
-    std::unique_ptr<WeightsController> m_second; ///< a node beside it, if there is one
+    std::unique_ptr<WeightsController> m_second; ///< standby node, in some tests
 };
 
-// New weights are named while two engines lose every order that is sent to them. Were their places
-// kept until an answer comes, the seven others would stay on old weights, and their answers would
-// be refused once the platform's time is over.
-TEST_F(WeightsControllerTest, OrdersWithoutAnAnswerHoldUpNoOtherEngine)
+// Guards against lost orders that block a rollout: two engines lose every order. If their slots
+// were held until an answer arrives, the seven others would stay on old weights, and their answers
+// would be refused after the platform's deadline.
+TEST_F(WeightsControllerTest, UnansweredOrdersDoNotBlockOtherEngines)
 {
-    m_engines.silent = {idOf(0), idOf(1)};
+    m_engines.losesOrders = {idOf(0), idOf(1)};
     stepFor(milliseconds(200));
-    m_controller->weightsNamed(llmModel, 2, m_now);
+    m_controller->weightsAnnounced(llmModel, 2, m_now);
     stepFor(milliseconds(6000));
     EXPECT_EQ(onVersion(2), Engines - 2);
-    m_engines.silent.clear();
+    m_engines.losesOrders.clear();
     stepFor(milliseconds(6000));
     EXPECT_EQ(onVersion(2), Engines);
 }
 
-// Newer weights are named while engines still load older ones. An order of the older ones given
-// after that would take the engine out twice.
-TEST_F(WeightsControllerTest, WeightsThatWereReplacedAreNotOrderedAnyMore)
+// Guards against an order for older weights after newer ones were announced: the engine would be
+// unavailable for two loads.
+TEST_F(WeightsControllerTest, SupersededWeightsAreNotOrdered)
 {
-    m_controller->weightsNamed(llmModel, 2, m_now);
+    m_controller->weightsAnnounced(llmModel, 2, m_now);
     stepFor(milliseconds(1500));
     ASSERT_FALSE(m_engines.ordered.empty());
     m_engines.ordered.clear();
-    m_controller->weightsNamed(llmModel, 3, m_now);
+    m_controller->weightsAnnounced(llmModel, 3, m_now);
     stepFor(milliseconds(8000));
     EXPECT_EQ(onVersion(3), Engines);
     EXPECT_EQ(std::count(m_engines.ordered.begin(), m_engines.ordered.end(), 2), 0);
 }
 
-// Nine engines whose streams take a second and a half to end have eight seconds. Requests that wait
-// on old weights are withdrawn 800 ms before; all engines have to be on new ones by then.
-TEST_F(WeightsControllerTest, ARolloutEndsBeforeRequestsAreWithdrawn)
+// Guards against a rollout that is too slow: nine engines whose streams take a second and a half to
+// end have eight seconds. Requests that wait on old weights are withdrawn 800 ms before; all
+// engines have to be on the new weights by then.
+TEST_F(WeightsControllerTest, RolloutEndsBeforeRequestsAreWithdrawn)
 {
-    m_controller->weightsNamed(llmModel, 2, m_now);
+    m_controller->weightsAnnounced(llmModel, 2, m_now);
     stepFor(milliseconds(7200));
     EXPECT_EQ(onVersion(2), Engines);
 }
 
-// The node that gives orders is the first of those that wait for the lease, and dies. While nobody
-// gives orders, engines stay on weights whose time runs out; the second one has to notice as soon
-// as the lease lets it, though it is not the first.
-TEST_F(WeightsControllerTest, TheSecondThatWaitsTakesOverAsSoonAsItMay)
+// Guards against a late takeover: the holder, first in rank, fails. Until another node sends orders
+// the engines stay on weights that expire, so the second in rank has to claim the lease as soon as
+// it may.
+TEST_F(WeightsControllerTest, SecondStandbyTakesOverAsSoonAsAllowed)
 {
     m_controller->setStandbyRank(1);
-    m_controller->weightsNamed(llmModel, 2, m_now);
+    m_controller->weightsAnnounced(llmModel, 2, m_now);
     const LeaseTerms terms;
     for (int i = 0; i < 12; ++i) {
         m_log.appendAs("first");
         stepFor(terms.renewAfter);
     }
     ASSERT_EQ(m_log.holder(), "first");
-    constexpr Duration Patience = milliseconds(500); // spreads those that would claim together
-    stepFor(terms.validity + terms.gap + terms.margin - terms.renewAfter + Patience);
+    constexpr Duration ClaimDelay = milliseconds(500); // random delay of the claim
+    stepFor(terms.validity + terms.gap + terms.margin - terms.renewAfter + ClaimDelay);
     EXPECT_EQ(m_log.holder(), "node");
 }
 
-// Guards against a holder that reaches the store and no engine: it renews the lease for as long as
-// that lasts, and all engines stay on old weights.
-TEST_F(WeightsControllerTest, AHolderThatReachesNoEngineHandsTheLeaseOn)
+// Guards against a holder that reaches the store but no engine: it would keep renewing the lease,
+// and all engines would stay on old weights.
+TEST_F(WeightsControllerTest, HolderReachingNoEngineReleasesTheLease)
 {
-    expectAllBroughtThoughTheHolderReachesOnly(0);
+    expectAllUpdatedThoughHolderReachesOnly(0);
 }
 
-// Guards against a holder that keeps the lease for the one engine that it reaches.
-TEST_F(WeightsControllerTest, AHolderThatReachesOneEngineHandsTheLeaseOn)
+// Guards against a holder that keeps the lease although it reaches only one engine.
+TEST_F(WeightsControllerTest, HolderReachingOneEngineReleasesTheLease)
 {
-    expectAllBroughtThoughTheHolderReachesOnly(1);
+    expectAllUpdatedThoughHolderReachesOnly(1);
 }
 
-// Guards against a lease that goes round while engines answer questions and lose orders.
-TEST_F(WeightsControllerTest, OrdersWithoutAnAnswerAreNoReasonToHandTheLeaseOn)
+// Guards against a lease that moves from node to node while engines answer reports but lose orders.
+TEST_F(WeightsControllerTest, UnansweredOrdersDoNotReleaseTheLease)
 {
-    withSecondNode();
+    addSecondNode();
     for (int i = 0; i < Engines; ++i) {
-        m_engines.silent.insert(idOf(i));
+        m_engines.losesOrders.insert(idOf(i));
     }
-    nameForBoth(2);
+    announceToBoth(2);
     stepFor(milliseconds(6000));
     EXPECT_EQ(m_log.holder(), "node");
 }
 
-// Guards against a third of the engines on old weights for as long as the holder can't reach them.
-TEST_F(WeightsControllerTest, AHolderThatReachesOnlySomeEnginesHandsTheOthersOn)
+// Guards against a third of the engines that stay on old weights while the holder can't reach them.
+TEST_F(WeightsControllerTest, HolderReachingSomeEnginesReleasesTheLease)
 {
-    withSecondNode();
-    m_path.cut = {idOf(6), idOf(7), idOf(8)};
-    nameForBoth(2);
+    addSecondNode();
+    m_path.unreachable = {idOf(6), idOf(7), idOf(8)};
+    announceToBoth(2);
     stepFor(milliseconds(15000));
     EXPECT_EQ(onVersion(2), Engines);
 }
 
-// Guards against nodes that all leave the lease to each other after the engines were down for all.
-TEST_F(WeightsControllerTest, EnginesThatComeBackAfterALongOutageAreOrderedSoon)
+// Guards against a lease that no node claims after the engines were down for all nodes.
+TEST_F(WeightsControllerTest, RecoveredEnginesAreOrderedSoon)
 {
-    withSecondNode();
+    addSecondNode();
     m_second = controller("second", m_path);
     m_second->setStandbyRank(1);
     m_second->setOtherNodes(1);
     for (int i = 0; i < Engines; ++i) {
-        m_path.cut.insert(idOf(i));
+        m_path.unreachable.insert(idOf(i));
     }
-    nameForBoth(2);
+    announceToBoth(2);
     stepFor(std::chrono::seconds(60));
-    m_path.cut.clear();
+    m_path.unreachable.clear();
     stepFor(EngineReachability::ReleasePause + WholeRollout);
     EXPECT_EQ(onVersion(2), Engines);
 }
 
-// Guards against a lease that nobody holds on to while engines are down for everybody.
-TEST_F(WeightsControllerTest, ANodeWithoutOthersKeepsTryingEnginesThatAreDown)
+// Guards against a lease that is released although no other node could take it.
+TEST_F(WeightsControllerTest, SingleNodeKeepsTryingUnreachableEngines)
 {
-    m_path.cut = {idOf(7), idOf(8)};
-    m_controller->weightsNamed(llmModel, 2, m_now);
+    m_path.unreachable = {idOf(7), idOf(8)};
+    m_controller->weightsAnnounced(llmModel, 2, m_now);
     stepFor(milliseconds(12000));
     EXPECT_EQ(m_log.holder(), "node");
     EXPECT_FALSE(m_log.isReleased());
-    m_path.cut.clear();
+    m_path.unreachable.clear();
     stepFor(milliseconds(6000));
     EXPECT_EQ(onVersion(2), Engines);
 }
 
-// Nine nodes wait for the lease. Were each to read each renewal, they would make more calls to the
-// store than all other work of the fleet.
-TEST_F(WeightsControllerTest, ThoseThatWaitFurtherBackLookNowAndThen)
+// Guards against a flood of reads: if each of nine standby nodes read each renewal, they would make
+// more store calls than all other work of the fleet.
+TEST_F(WeightsControllerTest, LowerRankedStandbysPollRarely)
 {
     m_controller->setStandbyRank(6);
-    m_controller->weightsNamed(llmModel, 2, m_now);
+    m_controller->weightsAnnounced(llmModel, 2, m_now);
     const LeaseTerms terms;
     constexpr int Renewals = 20;
     for (int i = 0; i < Renewals; ++i) {
@@ -391,11 +393,12 @@
     EXPECT_LE(m_log.reads, Renewals / 4);
 }
 
-// Each of those that wait would claim as soon as new weights are named, and all but one in vain.
-TEST_F(WeightsControllerTest, ThoseFurtherBackLookBeforeTheyClaim)
+// Guards against standby nodes that all claim as soon as new weights are announced, all but one in
+// vain.
+TEST_F(WeightsControllerTest, LowerRankedStandbysReadBeforeClaiming)
 {
     m_controller->setStandbyRank(2);
-    m_controller->weightsNamed(llmModel, 2, m_now);
+    m_controller->weightsAnnounced(llmModel, 2, m_now);
     stepFor(milliseconds(300));
     m_log.appendAs("first");
     stepFor(milliseconds(2000));
