--- a/include/vanilladyke/gateway/admission_control.hpp
+++ b/include/vanilladyke/gateway/admission_control.hpp
@@ -18,12 +18,12 @@
 #include <thread>
 #include <unordered_map>
 
-/// Admission and queue of one node: the decisions of policy/admission.hpp, made for real requests.
+/// Admission control and request queue of one node, built on the decisions of policy/admission.hpp.
 namespace vanilladyke {
 
 class AdmissionControl;
 
-/// @brief A request's slot; ending the object gives it back. May outlive the request's thread, not
+/// @brief A request's slot, released by the destructor. May outlive the request's thread, but not
 /// the AdmissionControl.
 class SlotLease
 {
@@ -33,9 +33,9 @@
     SlotLease &operator=(const SlotLease &) = delete;
     ~SlotLease();
 
-    /// @brief The first token came; teaches the predictions. Later calls change nothing.
+    /// @brief Records the time of the first token for the predictions. Later calls have no effect.
     void firstTokenCame(TimePoint now);
-    /// @brief The answer is complete, so that its time in the slot says something.
+    /// @brief Marks the answer as complete, so that its time in the slot counts as a measurement.
     void completed() { m_completed = true; }
 
 private:
@@ -48,7 +48,7 @@
     bool m_completed = false;
 };
 
-/// @brief Decides whom the node serves, who waits and who is refused. Any thread.
+/// @brief Decides which requests the node starts, queues or refuses. Thread-safe.
 class AdmissionControl
 {
 public:
@@ -58,11 +58,11 @@
     AdmissionControl &operator=(const AdmissionControl &) = delete;
     ~AdmissionControl();
 
-    /// @brief Refuses at once, gives the request its slot, or puts it into the queue.
+    /// @brief Refuses the request, assigns it a slot, or enqueues it.
     [[nodiscard]] FilterVerdict admit(RequestContext &context);
-    /// @brief Waits until a request in the queue has its slot or is given up.
+    /// @brief Blocks until a queued request has a slot or is refused.
     [[nodiscard]] FilterVerdict awaitSlot(RequestContext &context);
-    /// @brief Refuses all that wait; the node is shutting down.
+    /// @brief Refuses all queued requests because the node is shutting down.
     void refuseWaiting();
 
 private:
@@ -81,22 +81,22 @@
     [[nodiscard]] Forecast forecast(const RequestContext &context, const Fleet &fleet);
     [[nodiscard]] AdmissionDecision decide(RequestContext &context, const Customer &customer);
     void dispatch(const std::stop_token &stop);
-    void look(const Fleet &fleet, TimePoint now);
-    void hearPeers(const Fleet &fleet);
-    void tellPeers(TimePoint now);
+    void refreshFleet(const Fleet &fleet, TimePoint now);
+    void applyPeerDemand(const Fleet &fleet);
+    void reportLoad(TimePoint now);
     [[nodiscard]] std::vector<ModelId> waitingModels() const;
-    void startWaiting(Admission &admission);
+    void startQueued(Admission &admission);
     void updateSlots(const ModelId &model, Admission &admission, const Fleet &fleet, TimePoint now);
-    void giveUp(const std::vector<GivenUp> &jobs);
-    void settle(QueueTicket ticket, FilterVerdict verdict);
-    void giveBack(const ModelId &model, QueueTicket ticket, bool completed);
+    void refuseJobs(const std::vector<GivenUp> &jobs);
+    void resolveWaiter(QueueTicket ticket, FilterVerdict verdict);
+    void releaseSlot(const ModelId &model, QueueTicket ticket, bool completed);
     void learnFirstToken(const ModelId &model, Duration predicted, Duration measured);
     [[nodiscard]] Admission &admissionFor(const ModelId &model);
 
     const FleetStore &m_fleet;
     EngineSlots &m_engines;
     const Placer &m_placer;
-    Inbox &m_inbox; ///< hears of the load here, for the peers
+    Inbox &m_inbox; ///< receives this node's load for the peers
     Metrics &m_metrics;
     std::mutex m_mutex;
     std::condition_variable_any m_changed;
@@ -105,13 +105,13 @@
     std::map<ModelId, Admission> m_models;
     Waiters m_waiters;
     std::uint64_t m_tickets = 0;
-    bool m_woken = false;                ///< the dispatcher has something new to look at
-    std::map<NodeId, TimePoint> m_heard; ///< peers' loads that the limiter has taken in
-    TimePoint m_nextTelling;
+    bool m_wakeRequested = false;                 ///< wakes the dispatcher before its next time-out
+    std::map<NodeId, TimePoint> m_lastPeerUpdate; ///< load updates applied to the limiter
+    TimePoint m_nextLoadReport;
     std::jthread m_dispatcher;
 };
 
-/// @brief Applies rate limits and predicted lateness.
+/// @brief Applies rate limits and refuses requests predicted to miss their deadline.
 struct Admit
 {
     AdmissionControl *control;
--- a/include/vanilladyke/gateway/caller_server.hpp
+++ b/include/vanilladyke/gateway/caller_server.hpp
@@ -13,17 +13,17 @@
 
 class ClaimDesk;
 
-/// @brief What a caller server takes from the host's settings.
+/// @brief The host's settings that a caller server uses.
 struct CallerServerOptions
 {
-    std::string certificate; ///< PEM file; empty: callers are served without TLS
-    std::string privateKey;  ///< PEM file that belongs to the certificate
+    std::string certificate; ///< PEM file; empty: no TLS for callers
+    std::string privateKey;  ///< PEM file of the certificate's private key
     BackendTls backends;
-    std::string streamKey; ///< 64 hexadecimal digits, the same on all nodes; empty: one of its own
+    std::string streamKey; ///< 64 hexadecimal digits, the same on all nodes; empty: a random key
     ClaimDesk *claims = nullptr; ///< null if this node has no log
 };
 
-/// @brief Serves callers over HTTP: completions, streamed or whole, and plain services.
+/// @brief Serves callers over HTTP: streamed and unstreamed completions, and plain services.
 class CallerServer
 {
 public:
@@ -32,24 +32,24 @@
     CallerServer &operator=(const CallerServer &) = delete;
     ~CallerServer();
 
-    /// @brief Whether the TLS files are usable; to be asked before all else.
+    /// @brief Whether the TLS files are usable. Call this before any other member.
     [[nodiscard]] bool tlsUsable() const;
-    /// @brief Takes the address. @return false if it is not to be had
+    /// @brief Binds the address. @return false if it can't be bound
     [[nodiscard]] bool bind(const Endpoint &endpoint);
     /// @brief Serves until stop().
     void run();
 
-    // A graceful shutdown takes these steps in this order.
+    // A graceful shutdown calls these in this order.
 
-    /// @brief Tells the balancer to send no more; what it still sends is served.
+    /// @brief Reports the node as not ready to the load balancer; new requests are still served.
     void leave();
-    /// @brief Refuses new requests, for a balancer that goes on sending for longer than it should.
+    /// @brief Refuses new requests, in case the load balancer keeps sending them.
     void refuseNew();
-    /// @brief Waits until every request has its whole answer. @return false at the deadline
+    /// @brief Waits until every request is fully answered. @return false at the deadline
     [[nodiscard]] bool waitUntilIdle(TimePoint deadline);
-    /// @brief Ends every stream under way with a truthful error.
+    /// @brief Ends every open stream with an error that states whether the request may have run.
     void hurry();
-    /// @brief Closes the port and what is still open.
+    /// @brief Closes the port and all open connections.
     void stop();
 
 private:
--- a/include/vanilladyke/gateway/engine_exchange.hpp
+++ b/include/vanilladyke/gateway/engine_exchange.hpp
@@ -11,47 +11,47 @@
 #include <memory>
 #include <string>
 
-/// One exchange with one engine: a request sent, its frames read back one by one.
+/// One exchange with one engine: sends a request and reads the frames of its answer.
 namespace vanilladyke {
 
-/// @brief What goes to an engine.
+/// @brief A request as it is sent to an engine.
 struct EngineCall
 {
     EngineView engine;
     BackendTls tls;
-    WeightsVersion weights; ///< that the answer must come from
+    WeightsVersion weights; ///< required of the answer
     RequestId request;
     StreamId stream;
-    std::string attempt; ///< names this exchange; frames that name another are not ours
+    std::string attempt; ///< id of this exchange; frames with another id are rejected
     std::string path;    ///< /v1/chat/completions or /v1/completions
     std::string body;
     PrefixChain chain;
     Priority priority = Priority::Normal;
-    std::uint32_t resumeOffset = 0; ///< frames of the answer that need not be sent
-    std::uint32_t answerOffset = 0; ///< tokens of the answer that the prompt ends with
+    std::uint32_t resumeOffset = 0; ///< frames of the answer to skip
+    std::uint32_t answerOffset = 0; ///< answer tokens appended to the prompt
     Duration silence =
-            std::chrono::seconds(2); ///< the bundle's limit, for the reader's own time-out
+            std::chrono::seconds(2); ///< the bundle's limit; the reader's time-out is a multiple
 };
 
 /// @brief One event of an answer, or its end.
 struct StreamFrame
 {
-    std::string attempt;      ///< that the frame belongs to, by its own word
-    std::uint32_t offset = 0; ///< frames up to and with this one; at the end, of the whole answer
+    std::string attempt;      ///< id given in the frame itself
+    std::uint32_t offset = 0; ///< frames up to and including this; at the end, of the answer
     std::string data;         ///< the event's JSON as the engine sent it
     bool end = false;
 };
 
-/// @brief Why an exchange broke off.
+/// @brief Why an exchange failed.
 enum class ExchangeError {
     ConnectFailed, ///< nothing was sent
-    Rejected,      ///< the engine refused the call and provably didn't run it
-    Reset,         ///< the connection ended before the end marker, or with a server error
-    Silent,        ///< nothing came until the deadline
-    Mismatch,      ///< another attempt, incarnation or weights version answered
+    Rejected,      ///< the engine refused the call and certainly did not run it
+    Reset,         ///< connection lost before the end marker, or a server error
+    Silent,        ///< no data before the deadline
+    Mismatch,      ///< answer of another attempt, incarnation or weights version
 };
 
-/// @brief Why an exchange broke off, with the words for the log.
+/// @brief Why an exchange failed, with a detail text for the log.
 struct ExchangeFailure
 {
     ExchangeError error = ExchangeError::Reset;
@@ -60,12 +60,12 @@
 
 [[nodiscard]] std::string_view toString(ExchangeError error);
 
-/// @brief What the failure says about whether the call may have run.
+/// @brief The event that tells ExchangeState whether the call may have run.
 [[nodiscard]] ExchangeEvent eventOf(ExchangeError error);
 
 class ReaderThreads;
 
-/// @brief An exchange under way; ending the object closes the connection without waiting.
+/// @brief An exchange in progress. The destructor closes the connection without waiting.
 class EngineExchange
 {
 public:
@@ -74,9 +74,10 @@
     EngineExchange &operator=(const EngineExchange &) = delete;
     ~EngineExchange();
 
-    /// @brief Waits for the next frame. @return Silent once the deadline has passed
+    /// @brief Waits for the next frame. @return TimedOut once the deadline has passed
     [[nodiscard]] Outcome<StreamFrame, ExchangeFailure> next(TimePoint deadline);
-    /// @brief When the engine last sent anything, a comment included; at first, when it was asked.
+    /// @brief When the engine last sent any bytes, comments included; initially, when the request
+    /// was sent.
     [[nodiscard]] TimePoint heardAt() const;
 
 private:
--- a/include/vanilladyke/gateway/engine_slots.hpp
+++ b/include/vanilladyke/gateway/engine_slots.hpp
@@ -11,29 +11,30 @@
 
 namespace vanilladyke {
 
-/// @brief What this node may use of each engine, and does: shares, requests under way, ejections.
-/// Every member may be called from any thread.
+/// @brief This node's use of each engine: its share of the slots, requests in flight and ejections.
+/// Thread-safe.
 class EngineSlots
 {
 public:
-    /// @brief Takes in the load reports of a newly published fleet.
-    /// @param waiting models for which requests wait at this node
+    /// @brief Applies the load reports of a newly published fleet.
+    /// @param waiting models that have queued requests at this node
     void refresh(const Fleet &fleet, const std::vector<ModelId> &waiting, TimePoint now);
-    /// @brief Requests of the model that this node may have under way, over all engines.
+    /// @brief Requests of the model that this node may have in flight, over all engines.
     [[nodiscard]] std::uint32_t slotsFor(const ModelId &model, const Fleet &fleet,
                                          TimePoint now) const;
-    /// @brief Engines that must get no request of the model now: ejected ones, and, unless all the
-    /// others are full, those where this node's share is used up.
-    /// @param tried engines that failed the request; being open does not help it
+    /// @brief Engines excluded for the model now: ejected engines, and engines where this node's
+    /// share is used up, unless all the others are full.
+    /// @param tried engines that failed the request; they don't count as available
     [[nodiscard]] std::vector<EngineId> closedFor(const ModelId &model, const Fleet &fleet,
                                                   const std::vector<EngineId> &tried,
                                                   TimePoint now) const;
-    /// @brief Counts a request that is sent to the engine.
+    /// @brief Counts a request sent to the engine.
     void begin(const EngineId &engine, const ModelId &model);
     void end(const EngineId &engine, const ModelId &model);
-    /// @brief Takes in how an exchange went, and logs an ejection that follows from it.
-    void observe(const ExchangeObservation &seen, const Fleet &fleet, TimePoint now);
-    /// @brief When the first ejected engine of the model may be used again; none if none is.
+    /// @brief Records the result of an exchange and logs an ejection that it causes.
+    void observe(const ExchangeObservation &observed, const Fleet &fleet, TimePoint now);
+    /// @brief When the first ejected engine of the model may be used again; none if none is
+    /// ejected.
     [[nodiscard]] std::optional<TimePoint> firstReturn(const ModelId &model, const Fleet &fleet,
                                                        TimePoint now) const;
 
@@ -43,7 +44,7 @@
         SlotShare share;
         TimePoint reportedAt;
         double rounding = 0;
-        std::map<ModelId, std::uint32_t> underWay;
+        std::map<ModelId, std::uint32_t> inFlight;
 
         [[nodiscard]] std::uint32_t total() const;
     };
@@ -56,7 +57,7 @@
     Ejection m_ejection;
 };
 
-/// @brief One request under way at an engine; ending the object gives its place back.
+/// @brief Counts one request in flight at an engine until destroyed.
 class EngineUse
 {
 public:
--- a/include/vanilladyke/gateway/exchange_context.hpp
+++ b/include/vanilladyke/gateway/exchange_context.hpp
@@ -14,32 +14,33 @@
 #include <string>
 #include <tuple>
 
-/// A caller's request on its way through the filter chain.
+/// A caller's request and the filter chain that processes it.
 namespace vanilladyke {
 
 class SlotLease;
 
-/// @brief A place in the answer of one request: which engine makes it, and how far the caller is.
+/// @brief A position in the answer of one request: the engine that generates it and the frames that
+/// the caller has received.
 struct StreamPosition
 {
     EngineId engine;
     Incarnation incarnation{};
     StreamId stream;
-    std::uint32_t start = 0;  ///< frames before the stream began, made by an earlier engine
-    std::uint32_t offset = 0; ///< frames that the caller has
+    std::uint32_t start = 0;  ///< frames before the stream began, from an earlier engine
+    std::uint32_t offset = 0; ///< frames that the caller has received
 
     bool operator==(const StreamPosition &) const = default;
 };
 
-/// @brief All that is known of one request; each filter reads what it needs and adds its part.
+/// @brief The state of one request; each filter reads the fields it needs and fills in its own.
 struct RequestContext
 {
-    // As it came in.
+    // As received.
     RequestId id;
     std::string path;
     std::string bearer; ///< never logged
     std::string deadlineHeader;
-    std::string lastEventId; ///< of a caller that comes back for the rest of a stream
+    std::string lastEventId; ///< set when a caller resumes a stream
     std::string body;
     TimePoint arrivedAt;
     std::shared_ptr<const Fleet> fleet;
@@ -51,25 +52,25 @@
     Priority priority = Priority::Normal;
     bool streamed = false;
     bool wantsUsage = false; ///< the caller asked for the usage frame of a stream
-    std::string engineBody;  ///< what the engine gets: always streamed
+    std::string engineBody;  ///< body sent to the engine: always streamed
     std::vector<std::string> messages;
     std::uint32_t promptTokens = 0;
     std::uint32_t answerTokens = 0;
     PrefixChain chain;
     TimePoint firstTokenDeadline;
-    std::optional<StreamPosition> resumeAt; ///< where lastEventId says
-    QueueTicket ticket{};                   ///< names the request in its model's queue
+    std::optional<StreamPosition> resumeAt; ///< decoded from lastEventId
+    QueueTicket ticket{};                   ///< id of the request in its model's queue
     Duration predictedFirstToken{};         ///< from the start of an exchange
     std::shared_ptr<SlotLease> slot;        ///< held until the answer has ended
 };
 
-/// @brief Whether the request is a chat completion, not a plain one.
+/// @brief Whether the request is a chat completion rather than a plain one.
 [[nodiscard]] bool isChat(const RequestContext &context);
 
-/// @brief What a filter says: none to pass the request on, a refusal to end it.
+/// @brief A filter's result: none to continue with the next filter, or a refusal.
 using FilterVerdict = std::optional<Refusal>;
 
-/// @brief One step of the chain.
+/// @brief One step of a FilterChain.
 template <typename T>
 concept Filter = requires(T &filter, RequestContext &context)
 {
@@ -78,7 +79,7 @@
         } -> std::same_as<FilterVerdict>;
 };
 
-/// @brief The filters in order; the first refusal ends the request.
+/// @brief Runs the filters in order and stops at the first refusal.
 template <Filter... Filters>
 class FilterChain
 {
--- a/include/vanilladyke/gateway/filters.hpp
+++ b/include/vanilladyke/gateway/filters.hpp
@@ -4,13 +4,13 @@
 
 namespace vanilladyke {
 
-/// @brief Names the customer by its bearer key; refuses an unknown one.
+/// @brief Identifies the customer by its bearer key; refuses an unknown key.
 struct IdentifyCustomer
 {
     [[nodiscard]] FilterVerdict operator()(RequestContext &context) const;
 };
 
-/// @brief Reads the completion request: model, messages, streamed or whole.
+/// @brief Parses the completion request: model, messages, streaming options.
 struct ParseCompletion
 {
     [[nodiscard]] FilterVerdict operator()(RequestContext &context) const;
@@ -22,19 +22,20 @@
     [[nodiscard]] FilterVerdict operator()(RequestContext &context) const;
 };
 
-/// @brief Sets the deadline of a plain service's whole answer in the same way.
+/// @brief Sets the deadline for a plain service's complete answer, from the same header or the
+/// bundle's default.
 struct SetServiceDeadline
 {
     [[nodiscard]] FilterVerdict operator()(RequestContext &context) const;
 };
 
-/// @brief Cuts the prompt into its prefix chain.
+/// @brief Computes the prompt's prefix chain.
 struct CutPrefixes
 {
     [[nodiscard]] FilterVerdict operator()(RequestContext &context) const;
 };
 
-/// @brief The digest under which a bundle names a bearer key: BLAKE2b-256, hexadecimal.
+/// @brief The digest that identifies a bearer key in a bundle: BLAKE2b-256, hexadecimal.
 [[nodiscard]] std::string keyDigest(const std::string &key);
 
 } // namespace vanilladyke
--- a/include/vanilladyke/gateway/placer.hpp
+++ b/include/vanilladyke/gateway/placer.hpp
@@ -15,7 +15,8 @@
 
 class Placer;
 
-/// @brief A stream that was given to an engine, as long as it is there. For one thread at a time.
+/// @brief A stream placed on an engine, registered with the Placer until destroyed. Not
+/// thread-safe.
 class AttemptWork
 {
 public:
@@ -27,9 +28,9 @@
     AttemptWork &operator=(const AttemptWork &) = delete;
     ~AttemptWork();
 
-    /// @brief The prompt has been computed. Later calls change nothing.
+    /// @brief Records that the prefill is complete. Later calls have no effect.
     void firstTokenCame();
-    /// @brief The engine told how many prompt tokens came from its cache.
+    /// @brief Records how many prompt tokens the engine reports as cached.
     void cachedTokensTold(std::uint32_t tokens);
 
 private:
@@ -38,15 +39,15 @@
     bool m_firstTokenCame = false;
 };
 
-/// @brief Where an attempt goes, and when its first token is expected.
+/// @brief The engine chosen for an attempt, and when its first token is expected.
 struct PlacedAttempt
 {
     EngineView engine;
     Duration firstToken{};             ///< predicted, from the start of the attempt
-    std::unique_ptr<AttemptWork> work; ///< to be kept while the stream is at the engine
+    std::unique_ptr<AttemptWork> work; ///< keep while the stream is at the engine
 };
 
-/// @brief Places the requests of one node, and learns from how they went. Any thread.
+/// @brief Chooses engines for the requests of one node and learns from the results. Thread-safe.
 class Placer
 {
 public:
@@ -56,14 +57,14 @@
     {}
 
     /// @brief Chooses an engine for the next attempt of a request and logs the decision.
-    /// @param excluded engines that must not get it: they failed it, are ejected or full
-    /// @return none if no engine may take it now
+    /// @param excluded engines that failed the request, are ejected or full
+    /// @return none if no engine is available
     [[nodiscard]] std::optional<PlacedAttempt> placeAttempt(const RequestContext &context,
                                                             const Fleet &fleet,
                                                             const std::vector<EngineId> &excluded,
                                                             Random &random);
 
-    /// @brief The engine that would be chosen now; nothing is logged or counted.
+    /// @brief The engine that would be chosen now; logs and counts nothing.
     [[nodiscard]] std::optional<Candidate> forecast(const RequestContext &context,
                                                     const Fleet &fleet,
                                                     const std::vector<EngineId> &excluded,
@@ -78,7 +79,7 @@
     PlacementPolicy m_policy;
 };
 
-/// @brief The cached prompt tokens that an answer's frame tells, if it tells them.
+/// @brief The number of cached prompt tokens given in an answer's frame, if any.
 [[nodiscard]] std::optional<std::uint32_t> cachedTokensIn(const std::string &frame);
 
 } // namespace vanilladyke
--- a/include/vanilladyke/gateway/quarantine_desk.hpp
+++ b/include/vanilladyke/gateway/quarantine_desk.hpp
@@ -5,28 +5,28 @@
 
 #include <mutex>
 
-/// The requests under which engines ended, for all conversations of this node.
+/// Requests that were running when an engine terminated, for all conversations of this node.
 namespace vanilladyke {
 
-/// @brief What one conversation knows of an engine that broke off.
+/// @brief A connection lost to an engine during one conversation.
 struct BrokenOff
 {
     TimePoint at;
     bool hadJustBegun = false;
 };
 
-/// @brief RequestQuarantine behind a lock; see there. Any thread.
+/// @brief RequestQuarantine behind a lock. Thread-safe.
 class QuarantineDesk
 {
 public:
     QuarantineDesk();
 
-    /// @brief Until when the request is sent to no engine; none if it may be sent.
+    /// @brief When the request's quarantine ends; none if it is not quarantined.
     [[nodiscard]] std::optional<TimePoint> heldUntil(const RequestContext &context,
                                                      TimePoint now) const;
     void engineEnded(const RequestContext &context, const EngineView &engine,
                      const BrokenOff &brokenOff);
-    /// @brief The caller got the whole answer.
+    /// @brief Records that the caller received the complete answer.
     void answered(const RequestContext &context, TimePoint now);
 
 private:
--- a/include/vanilladyke/gateway/traffic_control.hpp
+++ b/include/vanilladyke/gateway/traffic_control.hpp
@@ -11,7 +11,7 @@
 
 namespace vanilladyke {
 
-/// @brief The node's retry budgets. Any thread.
+/// @brief The node's retry budgets. Thread-safe.
 class SharedRetryBudgets
 {
 public:
@@ -39,7 +39,7 @@
     RetryBudgets m_budgets;
 };
 
-/// @brief What the requests of one node share when they compete for engines.
+/// @brief State shared by all requests of one node that compete for engines.
 struct TrafficControl
 {
     TrafficControl(const NodeState &node, Metrics &metrics)
--- a/src/vanilladyke/gateway/admission_control.cpp
+++ b/src/vanilladyke/gateway/admission_control.cpp
@@ -9,17 +9,18 @@
 
 namespace {
 
-/// Every waiting and every running request holds one of the 512 traffic threads. Were all of them
-/// taken, new requests would wait unseen for a thread, and a refusal would come late itself; so
-/// some stay free for refusals and plain services.
-constexpr std::size_t MostWaiting = 256;
-constexpr std::size_t MostRunning = 192;
-constexpr std::size_t LeastQueue = 16;
-/// Load reports come every 100 ms; looking more often would find nothing new.
-constexpr Duration LookAtFleetEvery = std::chrono::milliseconds(100);
-/// A node sends a message or two in this time; fresher news would not leave sooner.
-constexpr Duration TellPeersEvery = std::chrono::milliseconds(250);
-constexpr Duration LongestSleep = std::chrono::milliseconds(20);
+/// Every queued and every running request holds one of the 512 traffic threads. If all were taken,
+/// new requests would wait outside the queue and even refusals would be late, so some threads stay
+/// free for refusals and plain services.
+constexpr std::size_t MaxQueued = 256;
+constexpr std::size_t MaxRunning = 192;
+constexpr std::size_t MinQueueCapacity = 16;
+/// Load reports arrive every 100 ms; refreshing more often would find nothing new.
+constexpr Duration FleetRefreshInterval = std::chrono::milliseconds(100);
+/// A node sends one or two messages in this time, so a shorter interval would not send load updates
+/// any sooner.
+constexpr Duration LoadReportInterval = std::chrono::milliseconds(250);
+constexpr Duration MaxSleep = std::chrono::milliseconds(20);
 
 std::string_view toString(AdmissionVerdict verdict)
 {
@@ -92,7 +93,7 @@
 
 SlotLease::~SlotLease()
 {
-    m_control.giveBack(m_model, m_ticket, m_completed);
+    m_control.releaseSlot(m_model, m_ticket, m_completed);
 }
 
 void SlotLease::firstTokenCame(TimePoint now)
@@ -208,7 +209,7 @@
                 std::make_shared<SlotLease>(*this, context.model, ticket, predicted.firstToken);
     } else {
         m_waiters.try_emplace(ticket);
-        m_woken = true; // the dispatcher may have to wake earlier for its deadline
+        m_wakeRequested = true; // the request's deadline may be the dispatcher's next time-out
         m_changed.notify_one();
     }
     return decision;
@@ -250,63 +251,64 @@
     const std::lock_guard lock(m_mutex);
     for (auto &[model, admission] : m_models) {
         for (const QueuedJob &job : admission.clear()) {
-            settle(job.ticket, Refusal{RefusalReason::ShuttingDown, "the node is shutting down",
-                                       Ran::No, MonotonicClock::now()});
+            resolveWaiter(job.ticket,
+                          Refusal{RefusalReason::ShuttingDown, "the node is shutting down", Ran::No,
+                                  MonotonicClock::now()});
         }
     }
 }
 
 void AdmissionControl::dispatch(const std::stop_token &stop)
 {
-    TimePoint nextLook;
+    TimePoint nextRefresh;
     while (!stop.stop_requested()) {
         std::unique_lock lock(m_mutex);
         TimePoint now = MonotonicClock::now();
-        TimePoint wakeAt = now + LongestSleep;
+        TimePoint wakeAt = now + MaxSleep;
         for (const auto &[model, admission] : m_models) {
             wakeAt = std::min(wakeAt, admission.nextExpiry().value_or(wakeAt));
         }
-        m_changed.wait_until(lock, stop, wakeAt, [this] { return m_woken; });
-        m_woken = false;
+        m_changed.wait_until(lock, stop, wakeAt, [this] { return m_wakeRequested; });
+        m_wakeRequested = false;
         now = MonotonicClock::now();
-        if (now >= nextLook) {
-            nextLook = now + LookAtFleetEvery;
-            look(*m_fleet.current(), now);
+        if (now >= nextRefresh) {
+            nextRefresh = now + FleetRefreshInterval;
+            refreshFleet(*m_fleet.current(), now);
         }
         for (auto &[model, admission] : m_models) {
-            giveUp(admission.expire(now));
-            startWaiting(admission);
+            refuseJobs(admission.expire(now));
+            startQueued(admission);
         }
     }
 }
 
-void AdmissionControl::look(const Fleet &fleet, TimePoint now)
+void AdmissionControl::refreshFleet(const Fleet &fleet, TimePoint now)
 {
-    hearPeers(fleet);
+    applyPeerDemand(fleet);
     m_engines.refresh(fleet, waitingModels(), now);
     for (auto &[model, admission] : m_models) {
         updateSlots(model, admission, fleet, now);
     }
-    tellPeers(now);
+    reportLoad(now);
 }
 
-void AdmissionControl::hearPeers(const Fleet &fleet)
+void AdmissionControl::applyPeerDemand(const Fleet &fleet)
 {
-    std::map<NodeId, TimePoint> heard;
+    std::map<NodeId, TimePoint> lastUpdate;
     for (const PeerLoad &peer : fleet.peerLoads) {
-        const auto before = m_heard.find(peer.node);
-        if (before == m_heard.end() || peer.heardAt > before->second) {
+        const auto before = m_lastPeerUpdate.find(peer.node);
+        if (before == m_lastPeerUpdate.end() || peer.heardAt > before->second) {
             m_limiter.hear(peer.node, peer.load->demand, peer.heardAt);
         }
-        heard[peer.node] = peer.heardAt;
+        lastUpdate[peer.node] = peer.heardAt;
     }
-    m_heard = std::move(heard);
+    m_lastPeerUpdate = std::move(lastUpdate);
 }
 
-void AdmissionControl::tellPeers(TimePoint now)
+void AdmissionControl::reportLoad(TimePoint now)
 {
-    if (now >= m_nextTelling) {
-        m_nextTelling = now + TellPeersEvery;
+    if (now >= m_nextLoadReport) {
+        m_nextLoadReport = now + LoadReportInterval;
         m_inbox.post(LoadObserved{{waitingModels(), m_limiter.ownDemand(now)}});
     }
 }
@@ -325,30 +327,30 @@
 void AdmissionControl::updateSlots(const ModelId &model, Admission &admission, const Fleet &fleet,
                                    TimePoint now)
 {
-    std::size_t othersRunning = 0;
-    for (const auto &[other, its] : m_models) {
-        othersRunning += other == model ? 0 : its.busy();
+    std::size_t runningOthers = 0;
+    for (const auto &[other, otherAdmission] : m_models) {
+        runningOthers += other == model ? 0 : otherAdmission.busy();
     }
-    const std::size_t threads = MostRunning > othersRunning ? MostRunning - othersRunning : 1;
+    const std::size_t threads = MaxRunning > runningOthers ? MaxRunning - runningOthers : 1;
     const std::size_t slots = std::min<std::size_t>(m_engines.slotsFor(model, fleet, now), threads);
-    giveUp(admission.setSlots(static_cast<std::uint32_t>(slots), now));
+    refuseJobs(admission.setSlots(static_cast<std::uint32_t>(slots), now));
 }
 
-void AdmissionControl::startWaiting(Admission &admission)
+void AdmissionControl::startQueued(Admission &admission)
 {
     while (const auto job = admission.startNext(MonotonicClock::now())) {
-        settle(job->ticket, std::nullopt);
+        resolveWaiter(job->ticket, std::nullopt);
     }
 }
 
-void AdmissionControl::giveUp(const std::vector<GivenUp> &jobs)
+void AdmissionControl::refuseJobs(const std::vector<GivenUp> &jobs)
 {
     for (const GivenUp &job : jobs) {
-        settle(job.job.ticket, refusalOf(job.reason, job.retryAt));
+        resolveWaiter(job.job.ticket, refusalOf(job.reason, job.retryAt));
     }
 }
 
-void AdmissionControl::settle(QueueTicket ticket, FilterVerdict verdict)
+void AdmissionControl::resolveWaiter(QueueTicket ticket, FilterVerdict verdict)
 {
     const auto waiter = m_waiters.find(ticket);
     if (waiter != m_waiters.end()) {
@@ -356,7 +358,7 @@
     }
 }
 
-void AdmissionControl::giveBack(const ModelId &model, QueueTicket ticket, bool completed)
+void AdmissionControl::releaseSlot(const ModelId &model, QueueTicket ticket, bool completed)
 {
     const std::lock_guard lock(m_mutex);
     Admission &admission = admissionFor(model);
@@ -365,7 +367,7 @@
     } else {
         admission.releaseUnused(ticket);
     }
-    startWaiting(admission);
+    startQueued(admission);
 }
 
 void AdmissionControl::learnFirstToken(const ModelId &model, Duration predicted, Duration measured)
@@ -383,7 +385,7 @@
     const std::shared_ptr<const Fleet> fleet = m_fleet.current();
     const std::size_t models = fleet->bundle ? fleet->bundle->models.size() : 1;
     const std::size_t capacity =
-            std::max(LeastQueue, MostWaiting / std::max<std::size_t>(models, 1));
+            std::max(MinQueueCapacity, MaxQueued / std::max<std::size_t>(models, 1));
     return m_models.try_emplace(model, capacity).first->second;
 }
 
--- a/src/vanilladyke/gateway/answer_assembly.cpp
+++ b/src/vanilladyke/gateway/answer_assembly.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// The first choice, or null where the chunk has none, as the one that carries the usage.
+/// The first choice, or null if the chunk has none, as in the chunk that carries the usage.
 const nlohmann::json *firstChoice(const nlohmann::json &chunk)
 {
     const auto choices = chunk.find("choices");
--- a/src/vanilladyke/gateway/answer_assembly.hpp
+++ b/src/vanilladyke/gateway/answer_assembly.hpp
@@ -8,18 +8,18 @@
 
 #include <string>
 
-/// Puts the frames of a stream together into one whole answer.
+/// Assembles the frames of a stream into one complete answer.
 namespace vanilladyke {
 
-/// @brief The whole answer under construction.
+/// @brief Accumulates the frames of one answer.
 class AnswerAssembly
 {
 public:
     explicit AnswerAssembly(const RequestContext &context);
 
-    /// @brief Adds a frame that is not the end. @return false if it is no completion chunk
+    /// @brief Adds a frame that is not the end. @return false if it is not a completion chunk
     [[nodiscard]] bool add(const StreamFrame &frame);
-    /// @brief The answer as OpenAI clients expect it.
+    /// @brief The answer in the OpenAI response format.
     [[nodiscard]] std::string json(WallTime created) const;
 
 private:
--- a/src/vanilladyke/gateway/answer_so_far.cpp
+++ b/src/vanilladyke/gateway/answer_so_far.cpp
@@ -14,7 +14,7 @@
     return chunk.is_discarded() ? std::string() : chunkText(chunk);
 }
 
-void lessen(nlohmann::json &body, const char *field, std::uint32_t tokens)
+void reduceLimit(nlohmann::json &body, const char *field, std::uint32_t tokens)
 {
     const auto limit = body.find(field);
     if (limit != body.end()) {
@@ -69,8 +69,8 @@
     } else {
         body["prompt"] = body["prompt"].get<std::string>() + text();
     }
-    lessen(body, "max_tokens", have);
-    lessen(body, "max_completion_tokens", have);
+    reduceLimit(body, "max_tokens", have);
+    reduceLimit(body, "max_completion_tokens", have);
     return body.dump();
 }
 
--- a/src/vanilladyke/gateway/answer_so_far.hpp
+++ b/src/vanilladyke/gateway/answer_so_far.hpp
@@ -8,25 +8,26 @@
 
 namespace vanilladyke {
 
-/// @brief The frames of an answer that this node knows, to go on from on another engine.
+/// @brief The received frames of an answer, used to continue it on another engine.
 ///
-/// Kept as they came and read only when an engine is lost: reading each as it passes would cost
-/// every stream for the sake of a few.
+/// Frames are kept as received and parsed only when an engine is lost: parsing each frame on
+/// arrival would add a cost to every stream, though few need it.
 class AnswerSoFar
 {
 public:
-    /// @param start frames before the first that will be known here
+    /// @param start frames before the first one stored here
     explicit AnswerSoFar(std::uint32_t start = 0)
         : m_start(start)
     {}
 
-    /// @brief Adds the frame at an offset, unless it is known or another is missing before it.
+    /// @brief Adds the frame at an offset, unless it is stored already or an earlier one is
+    /// missing.
     void add(std::uint32_t offset, const std::string &data);
-    /// @brief Whether everything up to the offset is known.
+    /// @brief Whether all frames up to the offset are stored.
     [[nodiscard]] bool covers(std::uint32_t offset) const;
-    /// @brief Frames up to the last one that holds text.
+    /// @brief Number of frames up to and including the last one with text.
     [[nodiscard]] std::uint32_t tokens() const;
-    /// @brief The request's body with the answer so far at the end of its prompt.
+    /// @brief The request's body with the partial answer appended to its prompt.
     [[nodiscard]] std::string continuedBody(const RequestContext &context) const;
 
 private:
--- a/src/vanilladyke/gateway/caller_server.cpp
+++ b/src/vanilladyke/gateway/caller_server.cpp
@@ -20,7 +20,7 @@
 constexpr const char *ServicePattern = R"(/services/([^/?]+)(/.*)?)";
 constexpr const char *RequestIdHeader = "X-Request-Id";
 
-enum class ServerStage { Serving, Leaving, Refusing };
+enum class ServerStage { Serving, Draining, Refusing };
 
 RequestContext contextOf(const httplib::Request &request, std::shared_ptr<const Fleet> fleet)
 {
@@ -38,14 +38,14 @@
     return context;
 }
 
-/// The limit on a body; without a bundle nothing is taken, as nothing can be served.
+/// The maximum body size in bytes; 0 without a bundle, since nothing can be served then.
 std::uint64_t bodyLimit(const Fleet &fleet)
 {
     return fleet.bundle ? fleet.bundle->limits.bodyBytes : 0;
 }
 
-/// Reads the body up to the limit. What lies beyond is read and thrown away, so that the caller
-/// gets to read the refusal instead of a reset. @return false if the body was larger or broke off
+/// Reads the body up to the limit and discards the rest, so that the caller receives the refusal
+/// instead of a connection reset. @return false if the body was too large or truncated
 bool readBody(const httplib::ContentReader &reader, std::uint64_t limit, std::string *body)
 {
     bool fits = true;
@@ -59,7 +59,7 @@
     return whole && fits;
 }
 
-/// Services are named by the path's second part; the rest of the target goes to them as it came.
+/// The path's second segment names the service; the rest of the target is forwarded unchanged.
 ServiceCall serviceCallOf(const httplib::Request &request)
 {
     ServiceCall call;
@@ -78,17 +78,17 @@
     return call;
 }
 
-/// The library takes a multipart body apart and gives no way to the bytes. Without the type it
-/// hands them over as they are. The request is the server's own and not const there.
-void keepBodyWhole(const httplib::Request &request)
+/// The library parses a multipart body and doesn't expose its bytes; without the content type it
+/// passes them through unchanged. The cast is safe: the server's own request object is not const.
+void disableMultipartParsing(const httplib::Request &request)
 {
     const_cast<httplib::Request &>(request).headers.erase("Content-Type");
 }
 
-/// The library would let two processes share a port: a node started twice by mistake would get half
-/// of the other's callers, and nobody would notice. Only ports of closed connections are taken
-/// over.
-void bindAlone(int socket)
+/// By default the library lets two processes share a port, so a node started twice by mistake would
+/// silently receive half of the other's callers. SO_REUSEADDR alone only allows reusing a port with
+/// closed connections.
+void setExclusivePort(int socket)
 {
     const int yes = 1;
     setsockopt(socket, SOL_SOCKET, SO_REUSEADDR, &yes, sizeof yes);
@@ -108,7 +108,7 @@
     const auto key = parseEventKey(options.streamKey);
     if (!key) {
         LogEvent("stream_key_missing", Severity::Warning)
-                .field("effect", "no other node takes this node's event ids");
+                .field("effect", "other nodes can't verify this node's event ids");
     }
     return key ? *key : randomEventKey();
 }
@@ -135,8 +135,8 @@
                                        httplib::Response &response);
     [[nodiscard]] std::optional<Refusal> admit(RequestContext &context,
                                                const httplib::ContentReader *reader) const;
-    void tellReadiness(httplib::Response &response) const;
-    static void explainError(const httplib::Request &request, httplib::Response &response);
+    void writeReadiness(httplib::Response &response) const;
+    static void writeErrorBody(const httplib::Request &request, httplib::Response &response);
 
     const FleetStore &fleet;
     Metrics &metrics;
@@ -148,7 +148,7 @@
     httplib::Server &server;
 };
 
-/// Counts the request in; the server's logger, which runs after the last byte, counts it out.
+/// Counts the request as open until the server's logger runs, after the response's last byte.
 RequestContext CallerServer::Private::begin(const httplib::Request &request,
                                             httplib::Response &response)
 {
@@ -157,7 +157,7 @@
     RequestContext context = contextOf(request, fleet.current());
     response.set_header(RequestIdHeader, context.id.str());
     if (stage != ServerStage::Serving) {
-        // A caller that kept the connection would send its next request into the closing of it.
+        // On a kept connection the caller's next request could be lost when the server closes it.
         response.set_header("Connection", "close");
     }
     return context;
@@ -174,7 +174,7 @@
     }
     if (!read && context.fleet->bundle) {
         return Refusal{RefusalReason::TooLarge,
-                       "the body is larger than " + std::to_string(limit) + " bytes or not whole",
+                       "the body is larger than " + std::to_string(limit) + " bytes or truncated",
                        Ran::No, std::nullopt};
     }
     return std::nullopt;
@@ -198,7 +198,7 @@
 {
     RequestContext context = begin(request, response);
     ServiceCall call = serviceCallOf(request);
-    keepBodyWhole(request);
+    disableMultipartParsing(request);
     if (const auto refusal = admit(context, reader)) {
         writeRefusal(forAllTries(*refusal, call), context.id, MonotonicClock::now(), response);
         return;
@@ -206,38 +206,38 @@
     services(std::move(context), std::move(call), response);
 }
 
-void CallerServer::Private::tellReadiness(httplib::Response &response) const
+void CallerServer::Private::writeReadiness(httplib::Response &response) const
 {
-    const std::shared_ptr<const Fleet> known = fleet.current();
-    std::string trouble;
+    const std::shared_ptr<const Fleet> current = fleet.current();
+    std::string notReadyReason;
     if (stage != ServerStage::Serving) {
-        trouble = "leaving";
-    } else if (!known->bundle) {
-        trouble = "no bundle has been accepted yet";
-    } else if (!known->enginesKnown) {
-        trouble = "not every engine has been asked yet";
+        notReadyReason = "leaving";
+    } else if (!current->bundle) {
+        notReadyReason = "no bundle has been accepted yet";
+    } else if (!current->enginesKnown) {
+        notReadyReason = "not every engine has been asked yet";
     }
-    response.status = trouble.empty() ? 200 : 503;
-    response.set_content((trouble.empty() ? "ready" : trouble) + "\n", "text/plain");
+    response.status = notReadyReason.empty() ? 200 : 503;
+    response.set_content((notReadyReason.empty() ? "ready" : notReadyReason) + "\n", "text/plain");
 }
 
-/// The library's own errors come without a body: bad requests, unknown paths, broken invariants.
-void CallerServer::Private::explainError(const httplib::Request &request,
-                                         httplib::Response &response)
+/// Adds a body to errors of the library itself: bad requests, unknown paths, exceptions.
+void CallerServer::Private::writeErrorBody(const httplib::Request &request,
+                                           httplib::Response &response)
 {
     if (!response.body.empty() || response.has_header(ServiceHeader)) {
         return;
     }
-    const bool ours = response.status >= 500;
+    const bool isServerError = response.status >= 500;
     const int status = response.status;
     const RequestId id = response.has_header(RequestIdHeader)
                                  ? RequestId(response.get_header_value(RequestIdHeader))
                                  : RequestId(newUuid());
-    writeRefusal(
-            {ours ? RefusalReason::BackendFailed : RefusalReason::BadRequest,
-             ours ? "internal error" : "no such path, method or form of request: " + request.path,
-             ours ? Ran::Unknown : Ran::No, std::nullopt},
-            id, MonotonicClock::now(), response);
+    writeRefusal({isServerError ? RefusalReason::BackendFailed : RefusalReason::BadRequest,
+                  isServerError ? "internal error"
+                                : "no such path, method or form of request: " + request.path,
+                  isServerError ? Ran::Unknown : Ran::No, std::nullopt},
+                 id, MonotonicClock::now(), response);
     response.status = status;
 }
 
@@ -268,12 +268,13 @@
     server.Get("/healthz", [](const Request &, Response &response) {
         response.set_content("ok\n", "text/plain");
     });
-    server.Get("/readyz", [this](const Request &, Response &response) { tellReadiness(response); });
+    server.Get("/readyz",
+               [this](const Request &, Response &response) { writeReadiness(response); });
     server.Get("/metrics", [this](const Request &, Response &response) {
         response.set_content(metrics.text(), "text/plain; version=0.0.4");
     });
     server.set_error_handler(
-            [](const Request &request, Response &response) { explainError(request, response); });
+            [](const Request &request, Response &response) { writeErrorBody(request, response); });
     server.set_logger([this](const Request &, const Response &response) {
         if (response.has_header(RequestIdHeader)) {
             openRequests.answered();
@@ -287,7 +288,7 @@
 {
     m_private->server.new_task_queue = [] { return new httplib::ThreadPool(TrafficThreads); };
     m_private->server.set_tcp_nodelay(true);
-    m_private->server.set_socket_options(bindAlone);
+    m_private->server.set_socket_options(setExclusivePort);
     m_private->route();
 }
 
@@ -310,7 +311,7 @@
 
 void CallerServer::leave()
 {
-    m_private->stage = ServerStage::Leaving;
+    m_private->stage = ServerStage::Draining;
 }
 
 void CallerServer::refuseNew()
--- a/src/vanilladyke/gateway/completion_handler.cpp
+++ b/src/vanilladyke/gateway/completion_handler.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-/// A caller's connection that carries nothing for longer is dropped by some middle boxes, and a
-/// caller that left is only noticed by a write that fails.
-constexpr Duration HeartbeatEvery = std::chrono::milliseconds(500);
+/// Some middleboxes drop a connection that is idle for longer, and a disconnected caller is only
+/// detected by a failed write.
+constexpr Duration HeartbeatInterval = std::chrono::milliseconds(500);
 constexpr std::string_view Heartbeat = ": waiting\n\n";
 
 std::string errorEvent(const Refusal &refusal, const RequestId &request)
@@ -20,8 +20,8 @@
     return "event: error\ndata: " + refusalBody(refusal, request, MonotonicClock::now()) + "\n\n";
 }
 
-/// Whether the frame only tells the usage. Looked for in the text first: reading every frame as
-/// JSON would cost more than all else that is done to it.
+/// Whether the frame carries only the usage. Searches the text first, since parsing every frame as
+/// JSON would cost more than all other processing of it.
 bool isUsageOnly(const StreamFrame &frame)
 {
     if (frame.data.find("\"usage\"") == std::string::npos) {
@@ -32,19 +32,19 @@
     return chunk.is_object() && choices != chunk.end() && choices->empty();
 }
 
-/// A stream on its way to its caller.
+/// A stream being sent to its caller.
 struct CallerStream
 {
     std::shared_ptr<Conversation> conversation;
     const EventSigner &signer;
     StreamStep step;
 
-    [[nodiscard]] bool over() const;
+    [[nodiscard]] bool isOver() const;
     [[nodiscard]] std::string bytes() const;
     [[nodiscard]] std::string frameBytes(const StreamFrame &frame) const;
 };
 
-bool CallerStream::over() const
+bool CallerStream::isOver() const
 {
     const auto *frame = std::get_if<StreamFrame>(&step);
     return std::holds_alternative<Refusal>(step) || (frame != nullptr && frame->end);
@@ -74,24 +74,24 @@
     return std::string(Heartbeat);
 }
 
-/// Hands the present step on to the caller. @return false once the caller has left
+/// Sends the current step to the caller. @return false if the caller has disconnected
 bool forward(const CallerStream &stream, httplib::DataSink &sink)
 {
     const std::string bytes = stream.bytes();
     if (!bytes.empty() && !sink.write(bytes.data(), bytes.size())) {
         return false;
     }
-    if (stream.over()) {
+    if (stream.isOver()) {
         sink.done();
     }
     return true;
 }
 
-/// Waits for what comes first: a frame or the end of the conversation.
+/// Waits for the next frame, or for the refusal that ends the conversation.
 std::variant<StreamFrame, Refusal> nextFrame(Conversation &conversation)
 {
     while (true) {
-        StreamStep step = conversation.next(MonotonicClock::now() + HeartbeatEvery);
+        StreamStep step = conversation.next(MonotonicClock::now() + HeartbeatInterval);
         if (auto *frame = std::get_if<StreamFrame>(&step)) {
             return std::move(*frame);
         }
@@ -120,7 +120,7 @@
     m_control.admission.refuseWaiting();
 }
 
-/// Reads the Last-Event-ID of a caller that comes back for the rest of a stream.
+/// Decodes the Last-Event-ID of a caller that resumes a stream.
 std::optional<Refusal> CompletionHandler::findResumePosition(RequestContext &context) const
 {
     if (context.lastEventId.empty()) {
@@ -167,11 +167,11 @@
             std::make_shared<CallerStream>(CallerStream{conversation, m_signer, std::move(first)});
     response.set_chunked_content_provider("text/event-stream", [stream](std::size_t,
                                                                         httplib::DataSink &sink) {
-        const bool present = forward(*stream, sink);
-        if (present && !stream->over()) {
-            stream->step = stream->conversation->next(MonotonicClock::now() + HeartbeatEvery);
+        const bool connected = forward(*stream, sink);
+        if (connected && !stream->isOver()) {
+            stream->step = stream->conversation->next(MonotonicClock::now() + HeartbeatInterval);
         }
-        return present;
+        return connected;
     });
 }
 
--- a/src/vanilladyke/gateway/completion_handler.hpp
+++ b/src/vanilladyke/gateway/completion_handler.hpp
@@ -18,7 +18,7 @@
 
 namespace vanilladyke {
 
-/// @brief Answers chat and plain completions, streamed or whole. Any thread.
+/// @brief Answers chat and plain completions, streamed or not. Thread-safe.
 class CompletionHandler
 {
 public:
@@ -26,7 +26,7 @@
                       BackendTls tls);
 
     void operator()(RequestContext context, httplib::Response &response);
-    /// @brief From now on every conversation ends with a truthful error.
+    /// @brief Ends every conversation with an error that states whether the request may have run.
     void hurry();
 
 private:
--- a/src/vanilladyke/gateway/conversation.cpp
+++ b/src/vanilladyke/gateway/conversation.cpp
@@ -11,13 +11,13 @@
 
 namespace {
 
-/// How long a caller with a part of its answer is kept while no engine goes on with it. Longer than
-/// an engine takes to restart and load its weights.
-constexpr Duration RescueWithin = std::chrono::seconds(15);
-/// Between two looks for an engine when there is none; the fleet is seen anew about as often.
-constexpr Duration LookAgainAfter = std::chrono::milliseconds(100);
+/// How long a caller with a partial answer waits for an engine to continue it. Longer than an
+/// engine takes to restart and load its weights.
+constexpr Duration RecoveryTimeout = std::chrono::seconds(15);
+/// Interval between searches for an available engine; the fleet is refreshed about as often.
+constexpr Duration EngineRetryInterval = std::chrono::milliseconds(100);
 
-AttemptEnd endOf(ExchangeError error)
+AttemptEnd attemptEndOf(ExchangeError error)
 {
     switch (error) {
     case ExchangeError::ConnectFailed:
@@ -59,16 +59,16 @@
         m_call.engine.endpoint = engine->endpoint;
     }
     m_use = std::make_unique<EngineUse>(m_environment.control.engines, at.engine, m_context.model);
-    m_giveUpAt = m_context.arrivedAt + RescueWithin;
-    // Another node sent this call before; whatever comes, it may have run.
+    m_giveUpAt = m_context.arrivedAt + RecoveryTimeout;
+    // Another node sent this call before, so it may have run whatever happens here.
     m_state.apply(ExchangeEvent::SendStarted);
     m_state.apply(ExchangeEvent::ConnectionLost);
 }
 
 Conversation::~Conversation()
 {
-    if (!m_over) {
-        leaveEngine();
+    if (!m_finished) {
+        releaseEngine();
     }
 }
 
@@ -78,8 +78,8 @@
             m_guard.offset()};
 }
 
-/// Ends the attempt, and the stream at the engine if it may still run there.
-void Conversation::leaveEngine()
+/// Ends the attempt, and cancels the stream at the engine if it may still be running.
+void Conversation::releaseEngine()
 {
     if (m_exchange && !m_call.engine.id.empty()) {
         m_environment.canceller.cancel(m_call.engine.endpoint, m_call.stream);
@@ -92,50 +92,52 @@
 
 Refusal Conversation::giveUp(std::string detail)
 {
-    leaveEngine();
-    m_over = true;
+    releaseEngine();
+    m_finished = true;
     const bool late = m_guard.offset() == 0 && MonotonicClock::now() >= m_giveUpAt;
     const RefusalReason reason = late ? RefusalReason::TooLate : RefusalReason::BackendFailed;
     return {reason, std::move(detail), m_state.ran(), {}};
 }
 
-bool Conversation::engineLives() const
+bool Conversation::engineAlive() const
 {
     const std::shared_ptr<const Fleet> fleet = m_environment.fleet.current();
     const EngineView *engine = findEngine(*fleet, m_call.engine.id);
-    const bool heard =
+    const bool isUp =
             engine != nullptr
             && (engine->state == EngineState::Ready || engine->state == EngineState::Loading
                 || engine->state == EngineState::Leaving);
-    return heard && engine->incarnation == m_call.engine.incarnation;
+    return isUp && engine->incarnation == m_call.engine.incarnation;
 }
 
-/// No engine now. @return whether to look again later: not for a first attempt, which is refused
+/// No engine is available. @return whether to retry later; false for a first attempt, which is
+/// refused
 bool Conversation::waitForEngine(TimePoint now)
 {
-    const bool tried = m_state.stage() != ExchangeStage::NothingSent || m_fruitless > 0;
+    const bool attempted =
+            m_state.stage() != ExchangeStage::NothingSent || m_consecutiveFailures > 0;
     m_excluded.clear();
-    m_notBefore = now + LookAgainAfter;
-    return tried && now < m_giveUpAt;
+    m_notBefore = now + EngineRetryInterval;
+    return attempted && now < m_giveUpAt;
 }
 
-/// Begins a stream on an engine that is placed anew. @return a refusal if there is no hope of one
+/// Chooses an engine for a new stream. @return a refusal if no engine can take the request
 std::optional<Refusal> Conversation::chooseEngine(TimePoint now)
 {
-    if (auto refusal = refuseHeld(now)) {
+    if (auto refusal = refuseQuarantined(now)) {
         return refusal;
     }
     const std::shared_ptr<const Fleet> fleet = m_environment.fleet.current();
     EngineSlots &slots = m_environment.control.engines;
-    std::vector<EngineId> closed = slots.closedFor(m_context.model, *fleet, m_excluded, now);
-    closed.insert(closed.end(), m_excluded.begin(), m_excluded.end());
+    std::vector<EngineId> excluded = slots.closedFor(m_context.model, *fleet, m_excluded, now);
+    excluded.insert(excluded.end(), m_excluded.begin(), m_excluded.end());
     std::optional<PlacedAttempt> placed =
-            m_environment.control.placer.placeAttempt(m_context, *fleet, closed, m_random);
+            m_environment.control.placer.placeAttempt(m_context, *fleet, excluded, m_random);
     if (!placed) {
         if (waitForEngine(now)) {
             return std::nullopt;
         }
-        m_over = true;
+        m_finished = true;
         return Refusal{RefusalReason::NoBackend, "no engine serves the model", m_state.ran(),
                        slots.firstReturn(m_context.model, *fleet, now)};
     }
@@ -148,7 +150,7 @@
     m_call.stream = StreamId(newUuid());
     m_call.answerOffset = m_answer.tokens();
     m_call.body = m_answer.continuedBody(m_context);
-    m_fruitlessHere = 0;
+    m_failuresOnEngine = 0;
     return std::nullopt;
 }
 
@@ -162,20 +164,21 @@
     m_call.chain = m_context.chain;
     m_call.priority = m_context.priority;
     m_call.silence = m_context.fleet->bundle->limits.streamSilence;
-    // A caller that came back: what it has is read once more, to be able to go on elsewhere.
-    const bool known = m_answer.covers(m_guard.offset());
-    m_call.resumeOffset = known ? m_guard.offset() : m_call.answerOffset;
+    // For a resumed stream, frames that the caller has are read again, so that the answer can
+    // continue on another engine.
+    const bool stored = m_answer.covers(m_guard.offset());
+    m_call.resumeOffset = stored ? m_guard.offset() : m_call.answerOffset;
     m_guard.begin(m_call.attempt);
-    m_progress = false;
+    m_hasProgress = false;
     m_attemptedAt = now;
     m_notBefore = now;
     m_state.apply(ExchangeEvent::SendStarted);
     m_exchange = std::make_unique<EngineExchange>(m_call, m_environment.threads);
 }
 
-/// New weights may be in service since the request was read, and no engine left with the old ones.
-/// Before its first frame a request goes by those that are in service now.
-void Conversation::takeWeightsInService()
+/// Switches to the weights now in service unless a frame has been sent: they may have changed since
+/// the request was parsed, and no engine may be left with the old ones.
+void Conversation::updateWeights()
 {
     const std::shared_ptr<const Fleet> fleet = m_environment.fleet.current();
     const Model *model = findModel(*fleet->bundle, m_context.model);
@@ -192,7 +195,7 @@
 
 std::optional<Refusal> Conversation::prepareAttempt(TimePoint now)
 {
-    takeWeightsInService();
+    updateWeights();
     if (m_call.engine.id.empty()) {
         if (auto refusal = chooseEngine(now)) {
             return refusal;
@@ -204,7 +207,7 @@
     return std::nullopt;
 }
 
-/// @return the frame, if it is to be handed on; an error, if the attempt is no good any more
+/// @return the frame if it is to be forwarded; an error if the attempt can't be continued
 Outcome<std::optional<StreamFrame>, ExchangeFailure> Conversation::accept(StreamFrame frame)
 {
     const FrameVerdict verdict = frame.end ? m_guard.checkEnd(frame.attempt, frame.offset)
@@ -227,15 +230,15 @@
     if (verdict == FrameVerdict::Duplicate) {
         return std::nullopt;
     }
-    noteFrame(frame);
+    recordFrame(frame);
     return frame;
 }
 
-/// Takes in a frame that goes to the caller.
-void Conversation::noteFrame(const StreamFrame &frame)
+/// Records a frame that is forwarded to the caller.
+void Conversation::recordFrame(const StreamFrame &frame)
 {
     const TimePoint now = MonotonicClock::now();
-    if (!m_progress) {
+    if (!m_hasProgress) {
         observe(false, now - m_attemptedAt);
     }
     if (m_context.slot) {
@@ -250,16 +253,16 @@
     m_firstFrameAt = m_firstFrameAt.value_or(now);
     m_brokenOff.reset();
     if (m_work) {
-        teachPlacement(frame);
+        updatePlacer(frame);
     }
-    m_over = frame.end;
-    m_progress = true;
-    m_fruitless = 0;
-    m_fruitlessHere = 0;
+    m_finished = frame.end;
+    m_hasProgress = true;
+    m_consecutiveFailures = 0;
+    m_failuresOnEngine = 0;
     m_excluded.clear();
 }
 
-void Conversation::teachPlacement(const StreamFrame &frame)
+void Conversation::updatePlacer(const StreamFrame &frame)
 {
     m_work->firstTokenCame();
     if (const auto cached = cachedTokensIn(frame.data)) {
@@ -267,40 +270,41 @@
     }
 }
 
-void Conversation::observe(bool failed, Duration took) const
+void Conversation::observe(bool failed, Duration duration) const
 {
-    m_environment.control.engines.observe({m_call.engine.id, failed, m_predictedFirstToken, took},
-                                          *m_environment.fleet.current(), MonotonicClock::now());
+    m_environment.control.engines.observe(
+            {m_call.engine.id, failed, m_predictedFirstToken, duration},
+            *m_environment.fleet.current(), MonotonicClock::now());
 }
 
-/// A stream that begins anew elsewhere before its first frame is a retry and has a budget. Free are
-/// one whose caller already holds a part of the answer, and one whose engine is gone: there the
-/// work is lost, and nothing is done twice at the same time.
-bool Conversation::mayMove()
+/// Restarting a stream on another engine before its first frame is a retry and needs budget. A
+/// stream whose caller has a partial answer needs none, nor does one whose engine is gone: its work
+/// is lost, so nothing runs twice at the same time.
+bool Conversation::maySwitchEngine()
 {
-    return m_guard.offset() > 0 || !engineLives()
+    return m_guard.offset() > 0 || !engineAlive()
            || m_environment.control.retries.spend(m_context.model, m_context.customer);
 }
 
-/// Leaves the engine for another, or stays where no retry is to be had: the stream is still there,
-/// and waiting for it adds no load. Refused at once, all callers of a frozen engine would come back
-/// as new requests. @return the refusal, if neither will do
-std::optional<Refusal> Conversation::moveElsewhere(const ExchangeFailure &why, TimePoint now)
+/// Releases the engine to choose another one, or keeps it if the retry budget is spent: the stream
+/// still exists there, and waiting for it adds no load. If callers of a frozen engine were refused
+/// at once, all would return as new requests. @return a refusal if neither is possible
+std::optional<Refusal> Conversation::switchEngine(const ExchangeFailure &why, TimePoint now)
 {
-    if (mayMove()) {
+    if (maySwitchEngine()) {
         m_excluded.push_back(m_call.engine.id);
-        leaveEngine();
+        releaseEngine();
         return std::nullopt;
     }
-    if (endOf(why.error) == AttemptEnd::Refused) {
+    if (attemptEndOf(why.error) == AttemptEnd::Refused) {
         Refusal refusal = giveUp(why.detail);
         refusal.reason = RefusalReason::RetryBudgetSpent;
         refusal.retryAt =
                 m_environment.control.retries.availableAt(m_context.model, m_context.customer);
         return refusal;
     }
-    m_fruitlessHere = 0;
-    m_notBefore = now + LookAgainAfter;
+    m_failuresOnEngine = 0;
+    m_notBefore = now + EngineRetryInterval;
     return std::nullopt;
 }
 
@@ -316,24 +320,25 @@
             .field("next", toString(step));
 }
 
-/// A broken connection alone shows no end: the engine must be another one or nobody afterwards.
-void Conversation::noteEngineEnd(const ExchangeFailure &why, TimePoint now)
+/// A lost connection alone doesn't prove that the engine terminated: afterwards the engine must be
+/// unreachable or have another incarnation.
+void Conversation::recordEngineTermination(const ExchangeFailure &why, TimePoint now)
 {
     if (why.error == ExchangeError::Reset && !m_brokenOff) {
         const bool hadJustBegun =
                 !m_firstFrameAt || now - *m_firstFrameAt < RequestQuarantine::JustBegun;
         m_brokenOff = BrokenOff{now, hadJustBegun};
     }
-    const bool isNobodyThere = why.error == ExchangeError::ConnectFailed
+    const bool isUnreachable = why.error == ExchangeError::ConnectFailed
                                || why.error == ExchangeError::Rejected
                                || why.error == ExchangeError::Mismatch;
-    if (m_brokenOff && (isNobodyThere || !engineLives())) {
+    if (m_brokenOff && (isUnreachable || !engineAlive())) {
         m_environment.control.quarantine.engineEnded(m_context, m_call.engine, *m_brokenOff);
         m_brokenOff.reset();
     }
 }
 
-std::optional<Refusal> Conversation::refuseHeld(TimePoint now)
+std::optional<Refusal> Conversation::refuseQuarantined(TimePoint now)
 {
     const auto until = m_environment.control.quarantine.heldUntil(m_context, now);
     if (!until) {
@@ -345,27 +350,27 @@
     return refusal;
 }
 
-/// The attempt under way is over. @return the refusal that ends the conversation, if it must end
-std::optional<Refusal> Conversation::breakOff(const ExchangeFailure &why)
+/// Handles a failed attempt. @return the refusal that ends the conversation, if it must end
+std::optional<Refusal> Conversation::handleAttemptFailure(const ExchangeFailure &why)
 {
     const TimePoint now = MonotonicClock::now();
     m_state.apply(eventOf(why.error));
     observe(true, {});
-    noteEngineEnd(why, now);
-    if (auto refusal = refuseHeld(now)) {
+    recordEngineTermination(why, now);
+    if (auto refusal = refuseQuarantined(now)) {
         logAttemptEnd(why, RecoveryStep::GiveUp);
         return refusal;
     }
-    if (m_progress) {
-        m_giveUpAt = now + RescueWithin;
+    if (m_hasProgress) {
+        m_giveUpAt = now + RecoveryTimeout;
     } else {
-        ++m_fruitless;
-        ++m_fruitlessHere;
+        ++m_consecutiveFailures;
+        ++m_failuresOnEngine;
     }
-    const RecoverySituation situation{endOf(why.error),
-                                      engineLives(),
-                                      m_fruitlessHere,
-                                      m_fruitless,
+    const RecoverySituation situation{attemptEndOf(why.error),
+                                      engineAlive(),
+                                      m_failuresOnEngine,
+                                      m_consecutiveFailures,
                                       m_answer.covers(m_guard.offset()),
                                       m_giveUpAt};
     const RecoveryStep step = recover(situation, now);
@@ -374,7 +379,7 @@
         return giveUp(why.detail);
     }
     if (step == RecoveryStep::Elsewhere) {
-        if (auto refusal = moveElsewhere(why, now)) {
+        if (auto refusal = switchEngine(why, now)) {
             return refusal;
         }
     }
@@ -382,21 +387,21 @@
     return std::nullopt;
 }
 
-/// When the attempt under way counts as dead, should nothing more be heard. A first frame has its
-/// deadline; after it the engine may take its time, as long as the connection shows signs of life.
-TimePoint Conversation::silentAt() const
+/// When the current attempt times out if no more bytes arrive. The first frame has a deadline;
+/// later frames may take any time as long as the connection carries data.
+TimePoint Conversation::idleDeadline() const
 {
-    const TimePoint silent = m_exchange->heardAt() + m_call.silence;
-    return m_guard.offset() == 0 ? std::min(silent, m_giveUpAt) : silent;
+    const TimePoint idleAt = m_exchange->heardAt() + m_call.silence;
+    return m_guard.offset() == 0 ? std::min(idleAt, m_giveUpAt) : idleAt;
 }
 
-/// One look at the attempt under way. @return none if there is to be another look at once
+/// Reads from the current attempt once. @return none if next() should continue at once
 std::optional<StreamStep> Conversation::readAttempt(TimePoint until)
 {
-    auto item = m_exchange->next(std::min(until, silentAt()));
+    auto item = m_exchange->next(std::min(until, idleDeadline()));
     if (!item && item.error().error == ExchangeError::Silent) {
         const TimePoint now = MonotonicClock::now();
-        if (now < silentAt()) {
+        if (now < idleDeadline()) {
             return now < until ? std::nullopt : std::optional<StreamStep>(StillWaiting{});
         }
     }
@@ -404,11 +409,11 @@
     if (accepted) {
         return *accepted ? std::optional<StreamStep>(std::move(**accepted)) : std::nullopt;
     }
-    auto refusal = breakOff(accepted.error());
+    auto refusal = handleAttemptFailure(accepted.error());
     return refusal ? std::optional<StreamStep>(std::move(*refusal)) : std::nullopt;
 }
 
-/// Begins the next attempt once it is time for it. @return none if it is under way
+/// Starts the next attempt when it is due. @return none if it has started or no engine is available
 std::optional<StreamStep> Conversation::beginAttempt(TimePoint until)
 {
     std::this_thread::sleep_until(std::min(m_notBefore, until));
--- a/src/vanilladyke/gateway/conversation.hpp
+++ b/src/vanilladyke/gateway/conversation.hpp
@@ -15,14 +15,14 @@
 #include <variant>
 #include <vector>
 
-/// A conversation carries one request's answer from the engines to the caller, over as many
-/// attempts as that takes.
+/// A conversation forwards one request's answer from the engines to the caller, using as many
+/// attempts as needed.
 namespace vanilladyke {
 
 class ReaderThreads;
 class StreamCanceller;
 
-/// @brief What conversations need of the node.
+/// @brief The parts of the node that conversations use.
 struct ConversationEnvironment
 {
     const FleetStore &fleet;
@@ -33,14 +33,15 @@
     const std::atomic<bool> &hurried; ///< the node stops without waiting for answers
 };
 
-/// @brief Nothing came until the given time; the conversation goes on.
+/// @brief No frame arrived before the given time; the conversation continues.
 struct StillWaiting
 {};
 
-/// @brief What the next look at a conversation brings. A Refusal ends it.
+/// @brief The result of one step of a conversation. A Refusal ends it.
 using StreamStep = std::variant<StreamFrame, StillWaiting, Refusal>;
 
-/// @brief One request under way. For one thread at a time; ending it cancels what still runs.
+/// @brief One request in progress. Not thread-safe; the destructor cancels a stream that may still
+/// run.
 class Conversation
 {
 public:
@@ -49,14 +50,15 @@
     Conversation &operator=(const Conversation &) = delete;
     ~Conversation();
 
-    /// @brief Waits for the next frame of the answer. @param until StillWaiting from then on
+    /// @brief Waits for the next frame of the answer.
+    /// @param until returns StillWaiting from then on
     [[nodiscard]] StreamStep next(TimePoint until);
     [[nodiscard]] const RequestContext &context() const { return m_context; }
-    /// @brief Where the caller is after the frame that next() gave last.
+    /// @brief The caller's position after the last frame that next() returned.
     [[nodiscard]] StreamPosition position() const;
 
 private:
-    void takeWeightsInService();
+    void updateWeights();
     [[nodiscard]] std::optional<Refusal> prepareAttempt(TimePoint now);
     void resumeAt(const StreamPosition &position);
     [[nodiscard]] std::optional<Refusal> chooseEngine(TimePoint now);
@@ -64,44 +66,44 @@
     [[nodiscard]] std::optional<StreamStep> beginAttempt(TimePoint until);
     [[nodiscard]] std::optional<StreamStep> readAttempt(TimePoint until);
     [[nodiscard]] Outcome<std::optional<StreamFrame>, ExchangeFailure> accept(StreamFrame frame);
-    [[nodiscard]] std::optional<Refusal> breakOff(const ExchangeFailure &why);
-    [[nodiscard]] bool mayMove();
-    [[nodiscard]] std::optional<Refusal> moveElsewhere(const ExchangeFailure &why, TimePoint now);
-    void noteFrame(const StreamFrame &frame);
-    void teachPlacement(const StreamFrame &frame);
-    void observe(bool failed, Duration took) const;
-    /// @brief Notes whether the engine ended under the request.
-    void noteEngineEnd(const ExchangeFailure &why, TimePoint now);
-    /// @return why the request is sent to no engine, if it is held
-    [[nodiscard]] std::optional<Refusal> refuseHeld(TimePoint now);
+    [[nodiscard]] std::optional<Refusal> handleAttemptFailure(const ExchangeFailure &why);
+    [[nodiscard]] bool maySwitchEngine();
+    [[nodiscard]] std::optional<Refusal> switchEngine(const ExchangeFailure &why, TimePoint now);
+    void recordFrame(const StreamFrame &frame);
+    void updatePlacer(const StreamFrame &frame);
+    void observe(bool failed, Duration duration) const;
+    /// @brief Records an engine that terminated while running the request.
+    void recordEngineTermination(const ExchangeFailure &why, TimePoint now);
+    /// @return a refusal if the request is quarantined
+    [[nodiscard]] std::optional<Refusal> refuseQuarantined(TimePoint now);
     void logAttemptEnd(const ExchangeFailure &why, RecoveryStep step) const;
-    [[nodiscard]] TimePoint silentAt() const;
-    [[nodiscard]] bool engineLives() const;
+    [[nodiscard]] TimePoint idleDeadline() const;
+    [[nodiscard]] bool engineAlive() const;
     [[nodiscard]] bool waitForEngine(TimePoint now);
     [[nodiscard]] Refusal giveUp(std::string detail);
-    void leaveEngine();
+    void releaseEngine();
 
     RequestContext m_context;
     ConversationEnvironment m_environment;
     Random m_random{entropySeed()};
-    ExchangeState m_state; ///< over all attempts; every refusal takes its ran from here
+    ExchangeState m_state; ///< over all attempts; source of every refusal's `ran`
     StreamGuard m_guard;
     AnswerSoFar m_answer;
-    EngineCall m_call; ///< the stream under way; its engine's id is empty when there is none
-    std::unique_ptr<EngineExchange> m_exchange; ///< the attempt under way
-    std::unique_ptr<EngineUse> m_use;           ///< counts the stream under way
-    std::unique_ptr<AttemptWork> m_work;        ///< teaches placement; none if resumed for a caller
+    EngineCall m_call;                          ///< current stream; empty engine id if none
+    std::unique_ptr<EngineExchange> m_exchange; ///< current attempt
+    std::unique_ptr<EngineUse> m_use;           ///< counts the current stream
+    std::unique_ptr<AttemptWork> m_work;        ///< reports to the placer; null after a resume
     Duration m_predictedFirstToken{};
     TimePoint m_attemptedAt;
     std::vector<EngineId> m_excluded;
-    std::optional<TimePoint> m_firstFrameAt; ///< from the engine of the stream under way
-    std::optional<BrokenOff> m_brokenOff;    ///< that engine, and nothing came from it since
-    std::uint32_t m_fruitlessHere = 0;
-    std::uint32_t m_fruitless = 0;
-    bool m_progress = false; ///< the attempt under way has brought a frame
-    bool m_over = false;
+    std::optional<TimePoint> m_firstFrameAt; ///< from the current stream's engine
+    std::optional<BrokenOff> m_brokenOff;    ///< to that engine, with no data since
+    std::uint32_t m_failuresOnEngine = 0;    ///< attempts without a frame, on the current engine
+    std::uint32_t m_consecutiveFailures = 0; ///< the same, over all engines
+    bool m_hasProgress = false;              ///< the current attempt has delivered a frame
+    bool m_finished = false;
     TimePoint m_giveUpAt;
-    TimePoint m_notBefore; ///< the next attempt waits until then
+    TimePoint m_notBefore; ///< earliest start of the next attempt
 };
 
 } // namespace vanilladyke
--- a/src/vanilladyke/gateway/deadline_header.cpp
+++ b/src/vanilladyke/gateway/deadline_header.cpp
@@ -12,8 +12,8 @@
 using std::chrono::milliseconds;
 using Millis = std::chrono::time_point<std::chrono::system_clock, milliseconds>;
 
-/// Times further off are a mistake, and would overflow when they are carried to another clock.
-constexpr Duration Furthest = std::chrono::hours(24);
+/// Times further away are mistakes, and would overflow when converted to the monotonic clock.
+constexpr Duration MaxDistance = std::chrono::hours(24);
 
 std::optional<Millis> parseEpoch(const std::string &text)
 {
@@ -45,8 +45,8 @@
         point = parseRfc3339(text);
     }
     const auto present = std::chrono::time_point_cast<milliseconds>(now);
-    const auto furthest = std::chrono::duration_cast<milliseconds>(Furthest);
-    if (!point || *point > present + furthest || *point < present - furthest) {
+    const auto maxDistance = std::chrono::duration_cast<milliseconds>(MaxDistance);
+    if (!point || *point > present + maxDistance || *point < present - maxDistance) {
         return std::nullopt;
     }
     return WallTime(*point);
--- a/src/vanilladyke/gateway/deadline_header_test.cpp
+++ b/src/vanilladyke/gateway/deadline_header_test.cpp
@@ -18,8 +18,8 @@
     EXPECT_EQ(parseDeadline("2027-01-15T16:00:00+08:00", Now), Now);
 }
 
-// A caller sends rubbish, or seconds where milliseconds belong. It must hear so, and not have its
-// request refused as late or kept for years.
+// A caller sends malformed text, or seconds instead of milliseconds. Accepting it would refuse the
+// request as late or keep it for years; it must be rejected as invalid.
 TEST(DeadlineHeader, RefusesWhatIsNoTimeNearNow)
 {
     for (const char *text :
--- a/src/vanilladyke/gateway/engine_exchange.cpp
+++ b/src/vanilladyke/gateway/engine_exchange.cpp
@@ -16,24 +16,24 @@
 
 namespace {
 
-constexpr Duration ConnectWithin = std::chrono::milliseconds(500);
-/// The reader's own time-out in silences: whoever waits for frames gives up after one, so that it
-/// only ends readers that nobody could stop.
-constexpr int ReaderSilences = 3;
-/// Frames that wait for a slow caller; then the engine's connection is read no further.
-constexpr std::size_t MostWaitingFrames = 256;
-/// A frame is one token; whatever goes on so long without an end is no event stream.
-constexpr std::size_t MostEventBytes = 1U << 20U;
-/// HTTP libraries, ours included, refuse header lines above 8 KiB.
-constexpr std::size_t MostHeaderBytes = 7000;
+constexpr Duration ConnectTimeout = std::chrono::milliseconds(500);
+/// The reader's socket time-out, in multiples of the idle time-out. Consumers of frames give up
+/// after one, so this only ends readers that could not be stopped.
+constexpr int ReaderTimeoutFactor = 3;
+/// Frames buffered for a slow caller; reading from the engine pauses beyond that.
+constexpr std::size_t MaxBufferedFrames = 256;
+/// A frame is one token; a longer run of bytes without an event end is not an event stream.
+constexpr std::size_t MaxEventBytes = 1U << 20U;
+/// HTTP libraries, including ours, reject header lines above 8 KiB.
+constexpr std::size_t MaxHeaderBytes = 7000;
 constexpr std::string_view EndMarker = "[DONE]";
 
-/// The chain of a long prompt takes several header lines.
+/// Splits the chain of a long prompt into several header lines.
 std::vector<std::string> chainLines(const PrefixChain &chain)
 {
     std::vector<std::string> lines;
     for (const PrefixCut &cut : chain) {
-        if (lines.empty() || lines.back().size() > MostHeaderBytes) {
+        if (lines.empty() || lines.back().size() > MaxHeaderBytes) {
             lines.emplace_back();
         }
         std::string &line = lines.back();
@@ -43,7 +43,8 @@
     return lines;
 }
 
-/// Reads "ATTEMPT:OFFSET". An id that is not so leaves the frame without attempt, hence foreign.
+/// Parses the event id "ATTEMPT:OFFSET". A malformed id leaves the attempt empty, so that the frame
+/// counts as foreign.
 StreamFrame frameOf(SseEvent &&event)
 {
     StreamFrame frame;
@@ -115,7 +116,7 @@
     return ExchangeEvent::ConnectionLost;
 }
 
-/// Shared with the reading thread, which may outlive the exchange for a moment.
+/// Shared with the reader thread, which may briefly outlive the exchange.
 struct EngineExchange::Shared
 {
     explicit Shared(const EngineCall &engineCall)
@@ -140,16 +141,16 @@
     std::mutex mutex;
     std::condition_variable changed;
     std::deque<Outcome<StreamFrame, ExchangeFailure>> items;
-    bool connected = false; ///< bytes of the call may have left
-    bool ended = false;     ///< nothing more is to be pushed
-    bool abandoned = false; ///< nobody reads any more
+    bool connected = false; ///< bytes of the call may have been sent
+    bool ended = false;     ///< no further items are accepted
+    bool abandoned = false; ///< the consumer is gone
 };
 
-/// @return false once the exchange is over or nobody reads it
+/// @return false once the exchange has ended or was abandoned
 bool EngineExchange::Shared::push(Outcome<StreamFrame, ExchangeFailure> item)
 {
     std::unique_lock lock(mutex);
-    changed.wait(lock, [this] { return abandoned || items.size() < MostWaitingFrames; });
+    changed.wait(lock, [this] { return abandoned || items.size() < MaxBufferedFrames; });
     if (ended || abandoned) {
         return false;
     }
@@ -164,7 +165,7 @@
     static_cast<void>(push(failure(ExchangeFailure{error, std::move(detail)})));
 }
 
-/// Runs when the connection stands and the body is about to go out. @return false to stop there
+/// Runs after connecting, before the body is sent. @return false to abort
 bool EngineExchange::Shared::beginSending()
 {
     const std::lock_guard lock(mutex);
@@ -186,7 +187,8 @@
                          && response.get_header_value("X-Weights-Version") == call.weights.str()
                          && response.get_header_value("X-Incarnation") == std::to_string(expected);
     if (!matches) {
-        fail(ExchangeError::Mismatch, "another attempt, weights version or incarnation answered");
+        fail(ExchangeError::Mismatch,
+             "answer is from another attempt, weights version or incarnation");
     }
     return matches;
 }
@@ -200,7 +202,7 @@
             return false;
         }
     }
-    return parser.pending() <= MostEventBytes;
+    return parser.pending() <= MaxEventBytes;
 }
 
 void EngineExchange::Shared::read()
@@ -216,20 +218,20 @@
                                       std::uint64_t) {
         return take({data, size});
     };
-    client.set_connection_timeout(ConnectWithin);
+    client.set_connection_timeout(ConnectTimeout);
     client.set_tcp_nodelay(true);
-    client.set_read_timeout(call.silence * ReaderSilences);
+    client.set_read_timeout(call.silence * ReaderTimeoutFactor);
     client.set_write_timeout(call.silence);
     const httplib::Result result = client.send(request);
     const bool unconnected = !result && failedBeforeSending(result.error());
-    // The library may name a connection error for a connection that broke later; then bytes left.
+    // The library may report a connect error for a connection lost later, after bytes were sent.
     const bool nothingSent = unconnected && !connected;
     fail(nothingSent ? ExchangeError::ConnectFailed : ExchangeError::Reset,
-         result ? "no end marker" : httplib::to_string(result.error()));
+         result ? "the stream ended without an end marker" : httplib::to_string(result.error()));
 }
 
-/// The library's stop() waits for a connection that is being made, up to the connection's time-out;
-/// so it is only called once that stands. Before, beginSending() ends the reader.
+/// The library's stop() blocks while connecting, up to the connection time-out, so it is only
+/// called once connected. Before that, beginSending() ends the reader.
 void EngineExchange::Shared::abandon()
 {
     bool stopNow = false;
@@ -261,7 +263,8 @@
     const bool filled = m_shared->changed.wait_until(lock, deadline,
                                                      [this] { return !m_shared->items.empty(); });
     if (!filled) {
-        return failure(ExchangeFailure{ExchangeError::Silent, "nothing came in time"});
+        return failure(ExchangeFailure{ExchangeError::Silent,
+                                       "no data from the engine before the deadline"});
     }
     Outcome<StreamFrame, ExchangeFailure> item = std::move(m_shared->items.front());
     m_shared->items.pop_front();
--- a/src/vanilladyke/gateway/engine_slots.cpp
+++ b/src/vanilladyke/gateway/engine_slots.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Place of this node among the live ones by name; all nodes that know the same ones agree on it.
+/// Rank of this node among the live ones by name; nodes with the same membership view agree on it.
 std::size_t rankOf(const Fleet &fleet)
 {
     if (fleet.members.empty()) {
@@ -27,8 +27,8 @@
            != models.end();
 }
 
-/// For each model, the nodes where its requests wait.
-std::map<ModelId, std::uint32_t> wantingNodes(const Fleet &fleet,
+/// For each model, the estimated number of nodes with queued requests.
+std::map<ModelId, std::uint32_t> waitingNodes(const Fleet &fleet,
                                               const std::vector<ModelId> &waitingHere)
 {
     std::map<ModelId, std::uint32_t> nodes;
@@ -49,7 +49,7 @@
 std::uint32_t EngineSlots::Use::total() const
 {
     std::uint32_t sum = 0;
-    for (const auto &[model, count] : underWay) {
+    for (const auto &[model, count] : inFlight) {
         sum += count;
     }
     return sum;
@@ -58,7 +58,7 @@
 void EngineSlots::refresh(const Fleet &fleet, const std::vector<ModelId> &waiting, TimePoint now)
 {
     const std::size_t rank = rankOf(fleet);
-    const std::map<ModelId, std::uint32_t> wanting = wantingNodes(fleet, waiting);
+    const std::map<ModelId, std::uint32_t> waitingByModel = waitingNodes(fleet, waiting);
     const std::lock_guard lock(m_mutex);
     for (std::size_t i = 0; i < fleet.engines.size(); ++i) {
         const EngineView &engine = fleet.engines[i];
@@ -68,15 +68,15 @@
             continue;
         }
         use.reportedAt = engine.load.measuredAt;
-        // What this node sent since the engine measured is not in the report.
+        // The report doesn't include requests that this node sent after the engine measured.
         const double own = use.total();
         const double busy = std::max<double>(engine.load.running + engine.load.waiting, own);
-        std::uint32_t wantingHere = 1;
+        std::uint32_t nodesWaitingHere = 1;
         for (const ModelId &model : engine.models) {
-            wantingHere = std::max(wantingHere, wanting.at(model));
+            nodesWaitingHere = std::max(nodesWaitingHere, waitingByModel.at(model));
         }
         use.share.update({static_cast<double>(engine.slots), busy, own, fleet.liveNodes,
-                          wantingHere, holdsAny(engine.models, waiting)});
+                          nodesWaitingHere, holdsAny(engine.models, waiting)});
     }
     m_ejection.fit(fleet, now);
 }
@@ -87,7 +87,7 @@
     if (use == m_uses.end() || m_ejection.ejected(engine.id, now)) {
         return 0;
     }
-    // An engine on its way back gets one request at least, or it could never prove itself.
+    // A recovering engine gets at least one request, or it could never recover fully.
     const double allowance = m_ejection.allowance(engine.id, now);
     const std::uint32_t share = use->second.share.usable(use->second.rounding);
     return allowance < 1 ? std::max(1U, static_cast<std::uint32_t>(share * allowance)) : share;
@@ -108,11 +108,11 @@
         if (use == m_uses.end() || !serves(engine, model)) {
             continue;
         }
-        const auto own = use->second.underWay.find(model);
-        const std::uint32_t ofModel = own == use->second.underWay.end() ? 0 : own->second;
-        const std::uint32_t ofOthers = use->second.total() - ofModel;
+        const auto own = use->second.inFlight.find(model);
+        const std::uint32_t inFlightOfModel = own == use->second.inFlight.end() ? 0 : own->second;
+        const std::uint32_t inFlightOfOthers = use->second.total() - inFlightOfModel;
         const std::uint32_t share = usable(engine, now);
-        sum += share > ofOthers ? share - ofOthers : 0;
+        sum += share > inFlightOfOthers ? share - inFlightOfOthers : 0;
     }
     return sum;
 }
@@ -124,7 +124,7 @@
     const std::lock_guard lock(m_mutex);
     std::vector<EngineId> ejected;
     std::vector<EngineId> closed;
-    bool anyOpen = false;
+    bool anyAvailable = false;
     for (const EngineView &engine : fleet.engines) {
         if (!serves(engine, model)) {
             continue;
@@ -135,32 +135,32 @@
         if (full(engine, now)) {
             closed.push_back(engine.id);
         } else if (std::find(tried.begin(), tried.end(), engine.id) == tried.end()) {
-            anyOpen = true;
+            anyAvailable = true;
         }
     }
-    return anyOpen ? closed : ejected;
+    return anyAvailable ? closed : ejected;
 }
 
 void EngineSlots::begin(const EngineId &engine, const ModelId &model)
 {
     const std::lock_guard lock(m_mutex);
-    ++m_uses[engine].underWay[model];
+    ++m_uses[engine].inFlight[model];
 }
 
 void EngineSlots::end(const EngineId &engine, const ModelId &model)
 {
     const std::lock_guard lock(m_mutex);
-    --m_uses.at(engine).underWay.at(model);
+    --m_uses.at(engine).inFlight.at(model);
 }
 
-void EngineSlots::observe(const ExchangeObservation &seen, const Fleet &fleet, TimePoint now)
+void EngineSlots::observe(const ExchangeObservation &observed, const Fleet &fleet, TimePoint now)
 {
     const std::lock_guard lock(m_mutex);
-    if (m_ejection.observe(seen, fleet, now)) {
+    if (m_ejection.observe(observed, fleet, now)) {
         LogEvent("engine_ejected", Severity::Warning)
-                .field("engine", seen.engine.str())
-                .field("cause", seen.failed ? "failures" : "slow")
-                .field("for", *m_ejection.endsAt(seen.engine, now) - now);
+                .field("engine", observed.engine.str())
+                .field("cause", observed.failed ? "failures" : "slow")
+                .field("for", *m_ejection.endsAt(observed.engine, now) - now);
     }
 }
 
--- a/src/vanilladyke/gateway/engine_slots_test.cpp
+++ b/src/vanilladyke/gateway/engine_slots_test.cpp
@@ -59,16 +59,16 @@
     EXPECT_TRUE(slots.closedFor(copyModel(), fleet, {}, now).empty());
 }
 
-// An engine crashes under a request while the others are full. If its own free slots counted as
-// room, the others would be closed to the retry, and its caller refused although they live.
+// An engine crashes while the others are full. If its free slots counted as available, the full
+// engines would be excluded from the retry, and the caller refused although they still work.
 TEST_F(EngineSlotsTest, OpensFullEnginesToARetryThatCanGoNowhereElse)
 {
     fill("e0");
     EXPECT_TRUE(slots.closedFor(copyModel(), fleet, {EngineId("e1")}, now).empty());
 }
 
-// A sick engine must stay closed even when all others are full, or the overload itself would send
-// requests there.
+// An ejected engine must stay excluded even when all others are full, or overload would send
+// requests to a failing engine.
 TEST_F(EngineSlotsTest, KeepsAnEjectedEngineClosed)
 {
     for (int i = 0; i < Ejection::FailuresToEject; ++i) {
--- a/src/vanilladyke/gateway/event_id.cpp
+++ b/src/vanilladyke/gateway/event_id.cpp
@@ -12,10 +12,10 @@
 constexpr std::size_t MacBytes = crypto_generichash_BYTES_MIN;
 constexpr std::size_t MacDigits = 2 * MacBytes;
 constexpr char Separator = '.';
-/// Far above the longest id that sign() makes; keeps a caller's header from being split at length.
-constexpr std::size_t MostIdBytes = 512;
+/// Far above the longest id that sign() produces; bounds the work spent on a caller's header.
+constexpr std::size_t MaxIdBytes = 512;
 
-std::string written(const StreamPosition &position)
+std::string encode(const StreamPosition &position)
 {
     std::string text = std::to_string(static_cast<std::uint64_t>(position.incarnation));
     text += Separator + std::to_string(position.start);
@@ -26,7 +26,7 @@
 }
 
 template <typename Number>
-bool takeNumber(std::string_view *text, Number *out)
+bool parseNumber(std::string_view *text, Number *out)
 {
     const auto parsed = std::from_chars(text->data(), text->data() + text->size(), *out);
     const auto used = static_cast<std::size_t>(parsed.ptr - text->data());
@@ -37,12 +37,12 @@
     return true;
 }
 
-std::optional<StreamPosition> read(std::string_view text)
+std::optional<StreamPosition> decode(std::string_view text)
 {
     StreamPosition position;
     std::uint64_t incarnation = 0;
-    if (!takeNumber(&text, &incarnation) || !takeNumber(&text, &position.start)
-        || !takeNumber(&text, &position.offset)) {
+    if (!parseNumber(&text, &incarnation) || !parseNumber(&text, &position.start)
+        || !parseNumber(&text, &position.offset)) {
         return std::nullopt;
     }
     const std::size_t end = text.find(Separator);
@@ -55,7 +55,7 @@
     return position;
 }
 
-/// Customer and prompt go into the code, each after its length, but not into the id.
+/// The code covers customer and prompt, each prefixed by its length; the id doesn't contain them.
 std::string macOf(const EventKey &key, const std::string &text, const RequestContext &context)
 {
     const std::string prompt = context.chain.empty() ? "" : context.chain.back().hash.hex();
@@ -95,14 +95,14 @@
 
 std::string EventSigner::sign(const StreamPosition &position, const RequestContext &context) const
 {
-    const std::string text = written(position);
+    const std::string text = encode(position);
     return macOf(m_key, text, context) + Separator + text;
 }
 
 std::optional<StreamPosition> EventSigner::open(std::string_view id,
                                                 const RequestContext &context) const
 {
-    if (id.size() <= MacDigits || id.size() > MostIdBytes || id[MacDigits] != Separator) {
+    if (id.size() <= MacDigits || id.size() > MaxIdBytes || id[MacDigits] != Separator) {
         return std::nullopt;
     }
     const std::string text(id.substr(MacDigits + 1));
@@ -110,7 +110,7 @@
     if (sodium_memcmp(expected.data(), id.data(), MacDigits) != 0) {
         return std::nullopt;
     }
-    return read(text);
+    return decode(text);
 }
 
 } // namespace vanilladyke
--- a/src/vanilladyke/gateway/event_id.hpp
+++ b/src/vanilladyke/gateway/event_id.hpp
@@ -7,19 +7,19 @@
 #include <string>
 #include <string_view>
 
-/// Event ids of streams: signed, so that any node can take a caller's Last-Event-ID after its own
-/// node died, and nobody can read another's stream by making one up.
+/// Signed event ids of streams. Any node can accept a caller's Last-Event-ID after the caller's
+/// node failed, and no caller can read another's stream with a forged id.
 namespace vanilladyke {
 
 /// @brief The key that signs event ids; the same on all nodes.
 using EventKey = std::array<unsigned char, 32>;
 
-/// @brief Reads 64 hexadecimal digits. @return none if the text is no key
+/// @brief Parses 64 hexadecimal digits. @return none if the text is not a key
 [[nodiscard]] std::optional<EventKey> parseEventKey(std::string_view text);
-/// @brief A key that no other process knows.
+/// @brief A random key, unique to this process.
 [[nodiscard]] EventKey randomEventKey();
 
-/// @brief Signs and checks event ids with one key. Any thread.
+/// @brief Signs and verifies event ids with one key. Thread-safe.
 class EventSigner
 {
 public:
@@ -27,11 +27,11 @@
         : m_key(key)
     {}
 
-    /// @brief The id that names the position for this request's customer and prompt.
+    /// @brief The event id of the position, bound to this request's customer and prompt.
     [[nodiscard]] std::string sign(const StreamPosition &position,
                                    const RequestContext &context) const;
-    /// @brief The position in an id; none if it was not signed with this key for this customer and
-    /// prompt.
+    /// @brief The position encoded in an id; none if the id was not signed with this key for this
+    /// customer and prompt.
     [[nodiscard]] std::optional<StreamPosition> open(std::string_view id,
                                                      const RequestContext &context) const;
 
--- a/src/vanilladyke/gateway/event_id_test.cpp
+++ b/src/vanilladyke/gateway/event_id_test.cpp
@@ -27,8 +27,8 @@
     EXPECT_FALSE(EventSigner(randomEventKey()).open(id, someRequest("brand")).has_value());
 }
 
-// A caller gets hold of the event id of another customer's stream, or comes back with another
-// prompt. It would read an answer that is not its own.
+// A caller uses the event id of another customer's stream, or resumes with another prompt. If
+// accepted, it would read an answer that is not its own.
 TEST(EventId, IsNoUseToAnotherCustomerOrPrompt)
 {
     const EventSigner signer(randomEventKey());
@@ -39,7 +39,7 @@
     EXPECT_FALSE(signer.open(id, other).has_value());
 }
 
-// A caller alters one character of an id, to read on from another offset or stream.
+// A caller alters one character of an id to resume at another offset or stream.
 RC_GTEST_PROP(EventId, RefusesAnyAlteredText, (std::uint8_t place, char put))
 {
     const EventSigner signer(EventKey{});
--- a/src/vanilladyke/gateway/filters.cpp
+++ b/src/vanilladyke/gateway/filters.cpp
@@ -18,8 +18,8 @@
 namespace {
 
 constexpr std::uint32_t DefaultAnswerTokens = 256;
-constexpr std::size_t ForStreamField = 16;
-constexpr std::uint64_t MostAnswerTokens = 1'000'000;
+constexpr std::size_t StreamFieldReserve = 16;
+constexpr std::uint64_t MaxAnswerTokens = 1'000'000;
 constexpr std::string_view ChatPath = "/v1/chat/completions";
 
 Refusal badRequest(std::string detail)
@@ -27,13 +27,13 @@
     return {RefusalReason::BadRequest, std::move(detail), Ran::No, std::nullopt};
 }
 
-bool callerWantsUsage(const nlohmann::json &body)
+bool requestsUsage(const nlohmann::json &body)
 {
     const auto options = body.find("stream_options");
     return options != body.end() && options->value("include_usage", false);
 }
 
-/// Content is a text, a list of parts, or null in a message that only calls tools.
+/// Content is a string, a list of parts, or null in a message that only calls tools.
 std::string contentOf(const nlohmann::json &message)
 {
     const nlohmann::json &content = message.at("content");
@@ -69,18 +69,18 @@
         if (limit == body.end() || limit->is_null()) {
             continue;
         }
-        if (!limit->is_number_unsigned() || limit->get<std::uint64_t>() > MostAnswerTokens) {
+        if (!limit->is_number_unsigned() || limit->get<std::uint64_t>() > MaxAnswerTokens) {
             throw std::invalid_argument(std::string(field) + " must be a whole number up to "
-                                        + std::to_string(MostAnswerTokens));
+                                        + std::to_string(MaxAnswerTokens));
         }
         return limit->get<std::uint32_t>();
     }
     return DefaultAnswerTokens;
 }
 
-/// The caller's body, changed to ask for a stream with its usage. Where fields are only missing
-/// they are put in front of the text as it came: writing a long prompt as JSON again costs more
-/// than all else that a request needs.
+/// The caller's body, changed to request a stream with usage. Fields that are merely missing are
+/// inserted at the front of the original text: serializing a long prompt again would cost more than
+/// all other processing of the request.
 std::string streamedBody(nlohmann::json &body, const std::string &text)
 {
     if (body.contains("stream_options")
@@ -90,7 +90,7 @@
         return body.dump();
     }
     std::string streamed = R"({"stream_options":{"include_usage":true},)";
-    streamed.reserve(streamed.size() + text.size() + ForStreamField);
+    streamed.reserve(streamed.size() + text.size() + StreamFieldReserve);
     if (!body.contains("stream")) {
         streamed += R"("stream":true,)";
     }
@@ -99,22 +99,22 @@
 
 void readCompletion(RequestContext &context)
 {
-    if (nestingDepth(context.body) > DeepestJson) {
+    if (nestingDepth(context.body) > MaxJsonDepth) {
         throw std::invalid_argument("the JSON is nested too deeply");
     }
     nlohmann::json body = nlohmann::json::parse(context.body);
     context.model = ModelId(body.at("model").get<std::string>());
     context.streamed = body.value("stream", false);
-    context.wantsUsage = !context.streamed || callerWantsUsage(body);
+    context.wantsUsage = !context.streamed || requestsUsage(body);
     context.answerTokens = readAnswerTokens(body);
     readPrompt(body, context);
     context.engineBody = streamedBody(body, context.body);
 }
 
-/// Takes the deadline that the caller names, in milliseconds since 1970 or as RFC 3339 writes it.
-FilterVerdict setDeadline(RequestContext &context, Duration byDefault)
+/// Sets the deadline from the caller's header: milliseconds since 1970 or RFC 3339.
+FilterVerdict setDeadline(RequestContext &context, Duration defaultTimeout)
 {
-    context.firstTokenDeadline = context.arrivedAt + byDefault;
+    context.firstTokenDeadline = context.arrivedAt + defaultTimeout;
     if (context.deadlineHeader.empty()) {
         return std::nullopt;
     }
--- a/src/vanilladyke/gateway/filters_test.cpp
+++ b/src/vanilladyke/gateway/filters_test.cpp
@@ -38,8 +38,8 @@
     }
 }
 
-// The engine must get the caller's prompt as it came, whether the body is changed in front or
-// written anew. A prompt that differs by one space would miss every cached prefix.
+// The engine must receive the caller's prompt unchanged, whether fields are inserted into the body
+// or the body is serialized again. A prompt that differs by one space misses every cached prefix.
 TEST(ParseCompletion, AsksForAStreamAndChangesNothingElse)
 {
     for (const std::string extra : {R"()", R"(,"stream":true)", R"(,"stream":false)",
@@ -56,8 +56,8 @@
     }
 }
 
-// A client with a fault sends fields of the wrong kind or size. It must hear which one is wrong;
-// taken as it is, a negative limit would become four billion tokens.
+// A faulty client sends fields of the wrong type or size. They must be refused as bad requests;
+// accepted unchecked, a negative limit would become four billion tokens.
 TEST(ParseCompletion, RefusesWrongTypesAndSizes)
 {
     const std::vector<std::pair<std::string, nlohmann::json>> wrong{
@@ -81,8 +81,8 @@
     }
 }
 
-// Somebody sends a million brackets. The JSON library would overflow the stack, and every stream of
-// the node would end with the process.
+// A body holds a million nested brackets. The JSON library would overflow the stack and crash the
+// process with all its streams.
 TEST(ParseCompletion, RefusesJsonThatIsNestedTooDeeply)
 {
     constexpr std::size_t Depth = 1'000'000;
--- a/src/vanilladyke/gateway/json_depth.hpp
+++ b/src/vanilladyke/gateway/json_depth.hpp
@@ -5,13 +5,13 @@
 
 namespace vanilladyke {
 
-/// @brief The deepest JSON that callers may send.
+/// @brief Maximum nesting depth of JSON from callers.
 ///
-/// The JSON library writes a value by recursion; a body of a million brackets would overflow the
-/// stack and end the process with every stream on it.
-inline constexpr std::size_t DeepestJson = 100;
+/// The JSON library serializes recursively; a body of a million brackets would overflow the stack
+/// and crash the process with all its streams.
+inline constexpr std::size_t MaxJsonDepth = 100;
 
-/// @brief The most brackets and braces open at once, those in strings left out.
+/// @brief The maximum number of brackets and braces open at once, not counting those in strings.
 [[nodiscard]] std::size_t nestingDepth(std::string_view json);
 
 } // namespace vanilladyke
--- a/src/vanilladyke/gateway/open_requests.hpp
+++ b/src/vanilladyke/gateway/open_requests.hpp
@@ -8,13 +8,13 @@
 
 namespace vanilladyke {
 
-/// @brief Counts the requests between their arrival and the last byte of their response.
+/// @brief Counts requests from their arrival to the last byte of their response.
 class OpenRequests
 {
 public:
     void arrived();
     void answered();
-    /// @brief Waits until there is none. @return false if the deadline came first
+    /// @brief Waits until no request is open. @return false if the deadline passes first
     [[nodiscard]] bool waitForNone(TimePoint deadline);
 
 private:
--- a/src/vanilladyke/gateway/placer.cpp
+++ b/src/vanilladyke/gateway/placer.cpp
@@ -94,7 +94,7 @@
 
 std::optional<std::uint32_t> cachedTokensIn(const std::string &frame)
 {
-    // Reading every frame as JSON would cost more than all else that is done to it.
+    // Parsing every frame as JSON would cost more than all other processing of it.
     if (frame.find("\"cached_tokens\"") == std::string::npos) {
         return std::nullopt;
     }
--- a/src/vanilladyke/gateway/quarantine_desk.cpp
+++ b/src/vanilladyke/gateway/quarantine_desk.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// Differs between lives of one engine.
-std::uint64_t lifeOf(const EngineView &engine)
+/// Identifies one incarnation of an engine.
+std::uint64_t incarnationHash(const EngineView &engine)
 {
     const auto incarnation = static_cast<std::uint64_t>(engine.incarnation);
     return hashOfName(engine.id.str() + "/" + std::to_string(incarnation));
@@ -48,8 +48,9 @@
 {
     const WorkDigest digest = digestOf(context);
     const std::lock_guard lock(m_mutex);
-    const bool isHeld = m_quarantine.ended(digest, hashOf(context.customer),
-                                           {lifeOf(engine), brokenOff.at, brokenOff.hadJustBegun});
+    const bool isHeld =
+            m_quarantine.ended(digest, hashOf(context.customer),
+                               {incarnationHash(engine), brokenOff.at, brokenOff.hadJustBegun});
     LogEvent("engine_ended_under_request", Severity::Warning)
             .field("request", context.id.str())
             .field("engine", engine.id.str())
@@ -62,8 +63,8 @@
 void QuarantineDesk::answered(const RequestContext &context, TimePoint now)
 {
     const std::lock_guard lock(m_mutex);
-    const bool mayBeSuspected = m_quarantine.concerns(hashOf(context.customer));
-    if (mayBeSuspected && m_quarantine.answered(digestOf(context), now)) {
+    const bool mayBeSuspect = m_quarantine.concerns(hashOf(context.customer));
+    if (mayBeSuspect && m_quarantine.answered(digestOf(context), now)) {
         LogEvent("request_cleared").field("request", context.id.str());
     }
 }
--- a/src/vanilladyke/gateway/reader_threads.cpp
+++ b/src/vanilladyke/gateway/reader_threads.cpp
@@ -22,7 +22,8 @@
     }).detach();
 }
 
-/// Notifies under the lock: without it the destructor could run between the two and end the object.
+/// Notifies under the lock: otherwise the destructor could return before notify_all() and destroy
+/// the condition variable.
 void ReaderThreads::finished()
 {
     const std::lock_guard lock(m_mutex);
--- a/src/vanilladyke/gateway/reader_threads.hpp
+++ b/src/vanilladyke/gateway/reader_threads.hpp
@@ -7,10 +7,10 @@
 
 namespace vanilladyke {
 
-/// @brief Runs blocking reads on threads of their own; the destructor waits for all of them.
+/// @brief Runs blocking reads, each on its own thread; the destructor waits for all of them.
 ///
-/// A read can't be ended from outside at every moment, so that who started one may not wait for its
-/// end; but the process must not end under a running thread.
+/// A blocking read can't always be interrupted, so its starter doesn't wait for it, but the process
+/// must not exit while a reader thread runs.
 class ReaderThreads
 {
 public:
--- a/src/vanilladyke/gateway/refusal_response.cpp
+++ b/src/vanilladyke/gateway/refusal_response.cpp
@@ -20,7 +20,7 @@
         error["retry_after_ms"] = std::chrono::ceil<std::chrono::milliseconds>(left).count();
     }
     const nlohmann::json body{{"error", error}};
-    // A message may quote what the caller sent, which need not be UTF-8.
+    // The message may quote the caller's input, which may be invalid UTF-8.
     return body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
--- a/src/vanilladyke/gateway/service_exchange.cpp
+++ b/src/vanilladyke/gateway/service_exchange.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-constexpr Duration ConnectWithin = std::chrono::milliseconds(500);
-/// A whole answer is held in memory, one for each call under way.
-constexpr std::size_t MostBytesHeld = 64U << 20U;
+constexpr Duration ConnectTimeout = std::chrono::milliseconds(500);
+/// Each call in progress buffers its complete answer in memory.
+constexpr std::size_t MaxAnswerBytes = 64U << 20U;
 
 void addHeader(httplib::Request &request, const char *name, const std::string &value)
 {
@@ -50,21 +50,22 @@
 {
     const Duration left = deadline - MonotonicClock::now();
     if (left <= Duration::zero()) {
-        return failure(ExchangeFailure{ExchangeError::ConnectFailed, "no time was left to send"});
+        return failure(ExchangeFailure{ExchangeError::ConnectFailed,
+                                       "the deadline passed before sending"});
     }
     const auto client = makeBackendClient(backend, tls);
-    client->set_connection_timeout(std::min(left, ConnectWithin));
+    client->set_connection_timeout(std::min(left, ConnectTimeout));
     client->set_read_timeout(left);
     client->set_write_timeout(left);
     client->set_tcp_nodelay(true);
     client->set_url_encode(false);
     httplib::Request request = requestOf(call);
     ServiceAnswer answer;
-    // The library's time-out counts from byte to byte; an answer that trickles must end as well.
+    // The library's time-out restarts with every byte; this also ends an answer that trickles in.
     request.content_receiver = [&](const char *data, std::size_t size, std::uint64_t,
                                    std::uint64_t) {
         answer.body.append(data, size);
-        return answer.body.size() <= MostBytesHeld && MonotonicClock::now() < deadline;
+        return answer.body.size() <= MaxAnswerBytes && MonotonicClock::now() < deadline;
     };
     const httplib::Result result = client->send(request);
     if (!result) {
--- a/src/vanilladyke/gateway/service_exchange.hpp
+++ b/src/vanilladyke/gateway/service_exchange.hpp
@@ -9,7 +9,7 @@
 
 namespace vanilladyke {
 
-/// @brief A caller's request to a plain service, as it goes to one of the backends.
+/// @brief A caller's request to a plain service, as sent to one of its backend servers.
 struct ServiceCall
 {
     RequestId request;
@@ -20,11 +20,11 @@
     std::string contentType;
     std::string accept;
     std::string idempotencyKey;
-    bool repeat = false; ///< the caller says that it may have sent the key before
+    bool repeat = false; ///< the caller may have sent the key before
     std::string body;
 };
 
-/// @brief What the service answered, whatever its status.
+/// @brief The service's answer, with any status.
 struct ServiceAnswer
 {
     int status = 200;
@@ -33,9 +33,9 @@
     bool replayed = false; ///< recorded from an earlier call with the same key
 };
 
-/// @brief Sends the call once to one backend and reads the whole answer. The caller's bearer key is
-/// not sent on.
-/// @return Silent once the deadline has passed
+/// @brief Sends the call once to one backend server and reads the complete answer. The caller's
+/// bearer key is not forwarded.
+/// @return TimedOut once the deadline has passed
 [[nodiscard]] Outcome<ServiceAnswer, ExchangeFailure> sendOnce(const ServiceCall &call,
                                                                const Endpoint &backend,
                                                                const BackendTls &tls,
--- a/src/vanilladyke/gateway/service_handler.cpp
+++ b/src/vanilladyke/gateway/service_handler.cpp
@@ -13,17 +13,18 @@
 
 namespace {
 
-/// A backend that answers nothing must leave time for a try elsewhere.
-constexpr int SharesOfTime = 2;
+/// An attempt may use 1/2 of the remaining time, so that an unresponsive backend server leaves time
+/// for another attempt.
+constexpr int AttemptTimeDivisor = 2;
 
-TimePoint tryDeadline(TimePoint deadline, bool another)
+TimePoint attemptDeadline(TimePoint deadline, bool hasMoreBackends)
 {
     const TimePoint now = MonotonicClock::now();
-    return another ? now + (deadline - now) / SharesOfTime : deadline;
+    return hasMoreBackends ? now + (deadline - now) / AttemptTimeDivisor : deadline;
 }
 
-void logTry(const ServiceCall &call, const Endpoint &backend,
-            const Outcome<ServiceAnswer, ExchangeFailure> &outcome)
+void logAttempt(const ServiceCall &call, const Endpoint &backend,
+                const Outcome<ServiceAnswer, ExchangeFailure> &outcome)
 {
     LogEvent event("service_call", outcome ? Severity::Info : Severity::Warning);
     event.field("request", call.request.str())
@@ -52,7 +53,7 @@
                                                                const Service &service,
                                                                const ServiceCall &call)
 {
-    // Retry budgets are kept for each model; a service takes the place of one.
+    // Retry budgets are kept per model; a service uses its own name in place of the model.
     const ModelId budget("service/" + service.id.str());
     m_retries.countFirstTry(budget, call.customer, retryTerms(*context.fleet));
     std::vector<Endpoint> backends = service.backends;
@@ -67,10 +68,10 @@
             break;
         }
         state.apply(ExchangeEvent::SendStarted);
-        const bool another = i + 1 < backends.size();
+        const bool hasMoreBackends = i + 1 < backends.size();
         auto outcome = sendOnce(call, backends[i], m_tls,
-                                tryDeadline(context.firstTokenDeadline, another));
-        logTry(call, backends[i], outcome);
+                                attemptDeadline(context.firstTokenDeadline, hasMoreBackends));
+        logAttempt(call, backends[i], outcome);
         if (outcome) {
             return std::move(*outcome);
         }
@@ -106,7 +107,7 @@
     return answer;
 }
 
-/// Without a claim no node may send the call, as another could send it too.
+/// Sends the call only under a claim, since otherwise another node could send it too.
 Outcome<ServiceAnswer, Refusal> ServiceHandler::callAtMostOnce(const RequestContext &context,
                                                                const Service &service,
                                                                const ServiceCall &call)
@@ -116,7 +117,7 @@
         return failure(std::move(claimed.error()));
     }
     if (auto *permit = std::get_if<ClaimPermit>(&*claimed)) {
-        return callUnder(std::move(*permit), service, call, context.firstTokenDeadline);
+        return callWithPermit(std::move(*permit), service, call, context.firstTokenDeadline);
     }
     if (auto *recorded = std::get_if<ClaimOutcome>(&*claimed)) {
         return ServiceAnswer{static_cast<int>(recorded->status), std::move(recorded->contentType),
@@ -124,17 +125,17 @@
     }
     Refusal &refusal = std::get<Refusal>(*claimed);
     if (refusal.reason == RefusalReason::LogUnavailable && service.deduplicates) {
-        // The service runs a key at most once by itself, so that an outage of the log need not
-        // stop its calls.
+        // The service deduplicates by key itself, so calls may continue while the log is
+        // unavailable.
         return callRepeatable(context, service, call);
     }
     return failure(std::move(refusal));
 }
 
-Outcome<ServiceAnswer, Refusal> ServiceHandler::callUnder(ClaimPermit permit,
-                                                          const Service &service,
-                                                          const ServiceCall &call,
-                                                          TimePoint deadline)
+Outcome<ServiceAnswer, Refusal> ServiceHandler::callWithPermit(ClaimPermit permit,
+                                                               const Service &service,
+                                                               const ServiceCall &call,
+                                                               TimePoint deadline)
 {
     std::vector<Endpoint> backends = service.backends;
     Random random(entropySeed());
@@ -144,7 +145,7 @@
     for (const Endpoint &backend : backends) {
         state.apply(ExchangeEvent::SendStarted);
         auto outcome = sendOnce(call, backend, m_tls, deadline);
-        logTry(call, backend, outcome);
+        logAttempt(call, backend, outcome);
         if (outcome) {
             permit.answered(static_cast<std::uint32_t>(outcome->status), outcome->contentType,
                             outcome->body);
@@ -153,7 +154,8 @@
         state.apply(eventOf(outcome.error().error));
         refusal = {RefusalReason::BackendFailed, outcome.error().detail, state.ran(), std::nullopt};
         if (state.ran() != Ran::No) {
-            // It may have run, so that it must not go to another backend; the permit records that.
+            // The call may have run, so it must not be sent to another backend server; the permit
+            // records that.
             return failure(std::move(refusal));
         }
     }
--- a/src/vanilladyke/gateway/service_handler.hpp
+++ b/src/vanilladyke/gateway/service_handler.hpp
@@ -12,20 +12,20 @@
 
 namespace vanilladyke {
 
-/// @brief Stands in every answer of a service, to tell it from one of this node.
+/// @brief Header set on every answer of a service, to distinguish it from this node's own answers.
 inline constexpr const char *ServiceHeader = "X-Service";
 
-/// @brief What a refusal says of the call, for all tries of its caller.
+/// @brief Adjusts a refusal's `ran` to cover all of the caller's attempts.
 ///
-/// A node knows that it sent nothing. An earlier try may still run elsewhere; only a key that was
-/// used for another call is known not to have sent this one.
+/// `ran` of the refusal covers this attempt only; an earlier one may still run elsewhere. Only a
+/// key that was used for another call rules out that this call was sent.
 [[nodiscard]] Refusal forAllTries(Refusal refusal, const ServiceCall &call);
 
-/// @brief Passes calls on to the plain services. Any thread.
+/// @brief Forwards calls to plain services. Thread-safe.
 class ServiceHandler
 {
 public:
-    /// @param claims null if this node has no log; calls that may not be repeated are then refused
+    /// @param claims null if this node has no log; calls that are not repeatable are then refused
     ServiceHandler(Metrics &metrics, BackendTls tls, ClaimDesk *claims)
         : m_metrics(metrics)
         , m_tls(std::move(tls))
@@ -42,10 +42,10 @@
     callRepeatable(const RequestContext &context, const Service &service, const ServiceCall &call);
     [[nodiscard]] Outcome<ServiceAnswer, Refusal>
     callAtMostOnce(const RequestContext &context, const Service &service, const ServiceCall &call);
-    [[nodiscard]] Outcome<ServiceAnswer, Refusal> callUnder(ClaimPermit permit,
-                                                            const Service &service,
-                                                            const ServiceCall &call,
-                                                            TimePoint deadline);
+    [[nodiscard]] Outcome<ServiceAnswer, Refusal> callWithPermit(ClaimPermit permit,
+                                                                 const Service &service,
+                                                                 const ServiceCall &call,
+                                                                 TimePoint deadline);
     [[nodiscard]] Outcome<ClaimAnswer, Refusal> claim(const RequestContext &context,
                                                       const ServiceCall &call);
 
--- a/src/vanilladyke/gateway/sse_parser.cpp
+++ b/src/vanilladyke/gateway/sse_parser.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// The value of a line that begins with the field's name; none if it begins otherwise.
+/// The value of a line that starts with the field's name; none for other lines.
 std::optional<std::string_view> valueOf(std::string_view line, std::string_view field)
 {
     if (!line.starts_with(field)) {
--- a/src/vanilladyke/gateway/sse_parser.hpp
+++ b/src/vanilladyke/gateway/sse_parser.hpp
@@ -14,15 +14,15 @@
     std::string data;
 };
 
-/// @brief Cuts a byte stream into server-sent events, wherever the network cut it. Lines end with
-/// LF or CRLF.
+/// @brief Parses a byte stream, received in chunks of any size, into server-sent events. Lines end
+/// with LF or CRLF.
 class SseParser
 {
 public:
     void feed(std::string_view bytes);
-    /// @brief The next whole event, or none until more bytes come. Comments are left out.
+    /// @brief The next complete event, or none until more bytes are fed. Skips comments.
     [[nodiscard]] std::optional<SseEvent> next();
-    /// @brief Bytes held that are no whole event yet.
+    /// @brief Buffered bytes that don't form a complete event yet.
     [[nodiscard]] std::size_t pending() const
     {
         return m_buffer.size() - m_read + m_event.data.size();
@@ -32,9 +32,9 @@
     [[nodiscard]] std::optional<std::string_view> nextLine();
 
     std::string m_buffer;
-    std::size_t m_read = 0;    ///< bytes of the buffer that are used up
-    std::size_t m_scanned = 0; ///< bytes that are known to hold no line end
-    SseEvent m_event;          ///< under construction
+    std::size_t m_read = 0;    ///< bytes of the buffer already consumed
+    std::size_t m_scanned = 0; ///< bytes already searched for a line end
+    SseEvent m_event;          ///< being assembled
     bool m_hasData = false;
 };
 
--- a/src/vanilladyke/gateway/sse_parser_test.cpp
+++ b/src/vanilladyke/gateway/sse_parser_test.cpp
@@ -30,8 +30,8 @@
     EXPECT_EQ(parser.pending(), 0U);
 }
 
-// The network cuts a stream anywhere, also inside a line end. Events must come out the same, or a
-// caller would miss tokens now and then.
+// The network splits a stream anywhere, even inside a line end. The events must be the same, or
+// callers would occasionally miss tokens.
 RC_GTEST_PROP(SseParser, ReadsTheSameHoweverTheBytesAreCut, (const std::vector<std::uint8_t> &cuts))
 {
     std::string text;
@@ -56,7 +56,8 @@
     }
 }
 
-// A broken engine sends rubbish. The node must neither crash nor hold more than it was fed.
+// A faulty engine sends arbitrary bytes. The parser must neither crash nor buffer more than it was
+// fed.
 RC_GTEST_PROP(SseParser, TakesAnyBytes, (const std::vector<std::string> &chunks))
 {
     SseParser parser;
--- a/src/vanilladyke/gateway/stream_canceller.cpp
+++ b/src/vanilladyke/gateway/stream_canceller.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-constexpr std::size_t MostWaiting = 1024;
-/// A frozen engine must not keep the cancels of the others waiting for long.
-constexpr Duration AnswerWithin = std::chrono::milliseconds(300);
+constexpr std::size_t MaxQueued = 1024;
+/// Short, so that a frozen engine doesn't delay cancellations at other engines for long.
+constexpr Duration CancelTimeout = std::chrono::milliseconds(300);
 
 } // namespace
 
@@ -31,32 +31,32 @@
 {
     {
         const std::lock_guard lock(m_mutex);
-        if (m_orders.size() >= MostWaiting) {
-            m_orders.pop_front();
+        if (m_queue.size() >= MaxQueued) {
+            m_queue.pop_front();
         }
-        m_orders.push_back({engine, stream});
+        m_queue.push_back({engine, stream});
     }
-    m_filled.notify_one();
+    m_queued.notify_one();
 }
 
 void StreamCanceller::run(const std::stop_token &stop)
 {
     while (true) {
         std::unique_lock lock(m_mutex);
-        if (!m_filled.wait(lock, stop, [this] { return !m_orders.empty(); })) {
+        if (!m_queued.wait(lock, stop, [this] { return !m_queue.empty(); })) {
             return;
         }
-        const Order order = std::move(m_orders.front());
-        m_orders.pop_front();
+        const Cancellation cancellation = std::move(m_queue.front());
+        m_queue.pop_front();
         lock.unlock();
-        const auto client = makeBackendClient(order.engine, m_tls);
-        client->set_connection_timeout(AnswerWithin);
-        client->set_read_timeout(AnswerWithin);
+        const auto client = makeBackendClient(cancellation.engine, m_tls);
+        client->set_connection_timeout(CancelTimeout);
+        client->set_read_timeout(CancelTimeout);
         const httplib::Result result =
-                client->Post("/v1/streams/" + order.stream.str() + "/cancel");
+                client->Post("/v1/streams/" + cancellation.stream.str() + "/cancel");
         LogEvent("stream_cancelled")
-                .field("stream", order.stream.str())
-                .field("engine", order.engine.str())
+                .field("stream", cancellation.stream.str())
+                .field("engine", cancellation.engine.str())
                 .field("status", result ? result->status : 0);
     }
 }
--- a/src/vanilladyke/gateway/stream_canceller.hpp
+++ b/src/vanilladyke/gateway/stream_canceller.hpp
@@ -10,25 +10,25 @@
 
 namespace vanilladyke {
 
-/// @brief Tells engines to stop generating what nobody will read.
+/// @brief Cancels streams at engines whose answers are no longer needed.
 ///
-/// Without it an engine goes on to the last token after its caller has left, and the slot is lost
-/// to others; one notices running requests on engines that no node knows of. Cancelling is a saving
-/// and never needed for a right answer, so that it is tried once, in the background, and dropped
-/// when too many are waiting.
+/// Without cancellation an engine generates up to the last token after its caller has disconnected,
+/// which blocks a slot; the symptom is running requests on engines that no node has recorded.
+/// Cancellation saves work but is not needed for correct answers, so each is tried once in the
+/// background, and the oldest is dropped when too many are queued.
 class StreamCanceller
 {
 public:
     explicit StreamCanceller(BackendTls tls);
     StreamCanceller(const StreamCanceller &) = delete;
     StreamCanceller &operator=(const StreamCanceller &) = delete;
-    /// @brief Gives up what still waits.
+    /// @brief Drops cancellations that are still queued.
     ~StreamCanceller();
 
     void cancel(const Endpoint &engine, const StreamId &stream);
 
 private:
-    struct Order
+    struct Cancellation
     {
         Endpoint engine;
         StreamId stream;
@@ -38,8 +38,8 @@
 
     const BackendTls m_tls;
     std::mutex m_mutex;
-    std::condition_variable_any m_filled;
-    std::deque<Order> m_orders;
+    std::condition_variable_any m_queued;
+    std::deque<Cancellation> m_queue;
     std::jthread m_thread;
 };
 
