--- a/include/vanilladyke/gateway/quarantine_desk.hpp
+++ b/include/vanilladyke/gateway/shared_request_quarantine.hpp
@@ -9,25 +9,25 @@
 namespace vanilladyke {
 
 /// @brief A connection lost to an engine during one conversation.
-struct BrokenOff
+struct ConnectionLoss
 {
     TimePoint at;
     bool hadJustBegun = false;
 };
 
 /// @brief RequestQuarantine behind a lock. Thread-safe.
-class QuarantineDesk
+class SharedRequestQuarantine
 {
 public:
-    QuarantineDesk();
+    SharedRequestQuarantine();
 
     /// @brief When the request's quarantine ends; none if it is not quarantined.
     [[nodiscard]] std::optional<TimePoint> heldUntil(const RequestContext &context,
                                                      TimePoint now) const;
-    void engineEnded(const RequestContext &context, const EngineView &engine,
-                     const BrokenOff &brokenOff);
+    void recordTermination(const RequestContext &context, const EngineView &engine,
+                           const ConnectionLoss &connectionLoss);
     /// @brief Records that the caller received the complete answer.
-    void answered(const RequestContext &context, TimePoint now);
+    void recordAnswer(const RequestContext &context, TimePoint now);
 
 private:
     [[nodiscard]] WorkDigest digestOf(const RequestContext &context) const;
--- a/include/vanilladyke/gateway/traffic_control.hpp
+++ b/include/vanilladyke/gateway/traffic_control.hpp
@@ -4,7 +4,7 @@
 #include "vanilladyke/gateway/admission_control.hpp"
 #include "vanilladyke/gateway/engine_slots.hpp"
 #include "vanilladyke/gateway/placer.hpp"
-#include "vanilladyke/gateway/quarantine_desk.hpp"
+#include "vanilladyke/gateway/shared_request_quarantine.hpp"
 #include "vanilladyke/policy/retry_budget.hpp"
 
 #include <mutex>
@@ -50,7 +50,7 @@
     EngineSlots engines;
     Placer placer;
     SharedRetryBudgets retries;
-    QuarantineDesk quarantine;
+    SharedRequestQuarantine quarantine;
     AdmissionControl admission;
 };
 
--- a/src/vanilladyke/gateway/conversation.cpp
+++ b/src/vanilladyke/gateway/conversation.cpp
@@ -143,7 +143,7 @@
     }
     m_call.engine = placed->engine;
     m_firstFrameAt.reset();
-    m_brokenOff.reset();
+    m_connectionLoss.reset();
     m_use = std::make_unique<EngineUse>(slots, m_call.engine.id, m_context.model);
     m_work = std::move(placed->work);
     m_predictedFirstToken = placed->firstToken;
@@ -248,10 +248,10 @@
         m_context.slot->completed();
     }
     if (frame.end) {
-        m_environment.control.quarantine.answered(m_context, now);
+        m_environment.control.quarantine.recordAnswer(m_context, now);
     }
     m_firstFrameAt = m_firstFrameAt.value_or(now);
-    m_brokenOff.reset();
+    m_connectionLoss.reset();
     if (m_work) {
         updatePlacer(frame);
     }
@@ -324,17 +324,18 @@
 /// unreachable or have another incarnation.
 void Conversation::recordEngineTermination(const ExchangeFailure &why, TimePoint now)
 {
-    if (why.error == ExchangeError::Reset && !m_brokenOff) {
+    if (why.error == ExchangeError::Reset && !m_connectionLoss) {
         const bool hadJustBegun =
                 !m_firstFrameAt || now - *m_firstFrameAt < RequestQuarantine::JustBegun;
-        m_brokenOff = BrokenOff{now, hadJustBegun};
+        m_connectionLoss = ConnectionLoss{now, hadJustBegun};
     }
     const bool isUnreachable = why.error == ExchangeError::ConnectFailed
                                || why.error == ExchangeError::Rejected
                                || why.error == ExchangeError::Mismatch;
-    if (m_brokenOff && (isUnreachable || !engineAlive())) {
-        m_environment.control.quarantine.engineEnded(m_context, m_call.engine, *m_brokenOff);
-        m_brokenOff.reset();
+    if (m_connectionLoss && (isUnreachable || !engineAlive())) {
+        m_environment.control.quarantine.recordTermination(m_context, m_call.engine,
+                                                           *m_connectionLoss);
+        m_connectionLoss.reset();
     }
 }
 
--- a/src/vanilladyke/gateway/conversation.hpp
+++ b/src/vanilladyke/gateway/conversation.hpp
@@ -96,8 +96,8 @@
     Duration m_predictedFirstToken{};
     TimePoint m_attemptedAt;
     std::vector<EngineId> m_excluded;
-    std::optional<TimePoint> m_firstFrameAt; ///< from the current stream's engine
-    std::optional<BrokenOff> m_brokenOff;    ///< to that engine, with no data since
+    std::optional<TimePoint> m_firstFrameAt;        ///< from the current stream's engine
+    std::optional<ConnectionLoss> m_connectionLoss; ///< to that engine, with no data since
     std::uint32_t m_failuresOnEngine = 0;    ///< attempts without a frame, on the current engine
     std::uint32_t m_consecutiveFailures = 0; ///< the same, over all engines
     bool m_hasProgress = false;              ///< the current attempt has delivered a frame
--- a/src/vanilladyke/gateway/quarantine_desk.cpp
+++ b/src/vanilladyke/gateway/shared_request_quarantine.cpp
@@ -1,4 +1,4 @@
-#include "vanilladyke/gateway/quarantine_desk.hpp"
+#include "vanilladyke/gateway/shared_request_quarantine.hpp"
 
 #include "vanilladyke/base/log.hpp"
 #include "vanilladyke/base/random.hpp"
@@ -21,7 +21,7 @@
 
 } // namespace
 
-QuarantineDesk::QuarantineDesk()
+SharedRequestQuarantine::SharedRequestQuarantine()
 {
     std::string key;
     for (int i = 0; i < 4; ++i) {
@@ -30,37 +30,38 @@
     m_digester.setKey(key);
 }
 
-WorkDigest QuarantineDesk::digestOf(const RequestContext &context) const
+WorkDigest SharedRequestQuarantine::digestOf(const RequestContext &context) const
 {
     return m_digester.digest({context.customer.str(), "POST", "", context.path, context.body});
 }
 
-std::optional<TimePoint> QuarantineDesk::heldUntil(const RequestContext &context,
-                                                   TimePoint now) const
+std::optional<TimePoint> SharedRequestQuarantine::heldUntil(const RequestContext &context,
+                                                            TimePoint now) const
 {
     const std::lock_guard lock(m_mutex);
     const bool mayBeHeld = m_quarantine.concerns(hashOf(context.customer));
     return mayBeHeld ? m_quarantine.heldUntil(digestOf(context), now) : std::nullopt;
 }
 
-void QuarantineDesk::engineEnded(const RequestContext &context, const EngineView &engine,
-                                 const BrokenOff &brokenOff)
+void SharedRequestQuarantine::recordTermination(const RequestContext &context,
+                                                const EngineView &engine,
+                                                const ConnectionLoss &connectionLoss)
 {
     const WorkDigest digest = digestOf(context);
     const std::lock_guard lock(m_mutex);
-    const bool isHeld =
-            m_quarantine.ended(digest, hashOf(context.customer),
-                               {incarnationHash(engine), brokenOff.at, brokenOff.hadJustBegun});
+    const bool isHeld = m_quarantine.ended(
+            digest, hashOf(context.customer),
+            {incarnationHash(engine), connectionLoss.at, connectionLoss.hadJustBegun});
     LogEvent("engine_ended_under_request", Severity::Warning)
             .field("request", context.id.str())
             .field("engine", engine.id.str())
             .field("digest", digest.str())
-            .field("just_begun", brokenOff.hadJustBegun)
+            .field("just_begun", connectionLoss.hadJustBegun)
             .field("engines_ended", m_quarantine.endsUnder(digest))
             .field("held", isHeld);
 }
 
-void QuarantineDesk::answered(const RequestContext &context, TimePoint now)
+void SharedRequestQuarantine::recordAnswer(const RequestContext &context, TimePoint now)
 {
     const std::lock_guard lock(m_mutex);
     const bool mayBeSuspect = m_quarantine.concerns(hashOf(context.customer));
