--- a/src/vanilladyke/gateway/conversation.cpp
+++ b/src/vanilladyke/gateway/conversation.cpp
@@ -49,7 +49,7 @@
 void Conversation::resumeAt(const StreamPosition &at)
 {
     m_guard = StreamGuard(at.offset);
-    m_answer = AnswerSoFar(at.start);
+    m_answer = PartialAnswer(at.start);
     m_call.stream = at.stream;
     m_call.engine.id = at.engine;
     m_call.engine.incarnation = at.incarnation;
@@ -149,7 +149,7 @@
     m_predictedFirstToken = placed->firstToken;
     m_call.stream = StreamId(newUuid());
     m_call.answerOffset = m_answer.tokens();
-    m_call.body = m_answer.continuedBody(m_context);
+    m_call.body = m_answer.continuationBody(m_context);
     m_failuresOnEngine = 0;
     return std::nullopt;
 }
--- a/src/vanilladyke/gateway/conversation.hpp
+++ b/src/vanilladyke/gateway/conversation.hpp
@@ -2,9 +2,9 @@
 
 #include "vanilladyke/base/random.hpp"
 #include "vanilladyke/control/fleet_store.hpp"
-#include "vanilladyke/gateway/answer_so_far.hpp"
 #include "vanilladyke/gateway/engine_exchange.hpp"
 #include "vanilladyke/gateway/exchange_context.hpp"
+#include "vanilladyke/gateway/partial_answer.hpp"
 #include "vanilladyke/gateway/placer.hpp"
 #include "vanilladyke/gateway/traffic_control.hpp"
 #include "vanilladyke/policy/stream_guard.hpp"
@@ -88,7 +88,7 @@
     Random m_random{entropySeed()};
     ExchangeState m_state; ///< over all attempts; source of every refusal's `ran`
     StreamGuard m_guard;
-    AnswerSoFar m_answer;
+    PartialAnswer m_answer;
     EngineCall m_call;                          ///< current stream; empty engine id if none
     std::unique_ptr<EngineExchange> m_exchange; ///< current attempt
     std::unique_ptr<EngineUse> m_use;           ///< counts the current stream
--- a/src/vanilladyke/gateway/answer_so_far.cpp
+++ b/src/vanilladyke/gateway/partial_answer.cpp
@@ -1,4 +1,4 @@
-#include "vanilladyke/gateway/answer_so_far.hpp"
+#include "vanilladyke/gateway/partial_answer.hpp"
 
 #include "vanilladyke/gateway/answer_assembly.hpp"
 
@@ -25,19 +25,19 @@
 
 } // namespace
 
-void AnswerSoFar::add(std::uint32_t offset, const std::string &data)
+void PartialAnswer::add(std::uint32_t offset, const std::string &data)
 {
     if (offset == m_start + m_frames.size() + 1) {
         m_frames.push_back(data);
     }
 }
 
-bool AnswerSoFar::covers(std::uint32_t offset) const
+bool PartialAnswer::covers(std::uint32_t offset) const
 {
     return m_start == 0 && offset <= m_frames.size();
 }
 
-std::uint32_t AnswerSoFar::tokens() const
+std::uint32_t PartialAnswer::tokens() const
 {
     std::size_t count = m_frames.size();
     while (count > 0 && textOf(m_frames[count - 1]).empty()) {
@@ -46,7 +46,7 @@
     return static_cast<std::uint32_t>(count);
 }
 
-std::string AnswerSoFar::text() const
+std::string PartialAnswer::text() const
 {
     std::string all;
     for (const std::string &frame : m_frames) {
@@ -55,7 +55,7 @@
     return all;
 }
 
-std::string AnswerSoFar::continuedBody(const RequestContext &context) const
+std::string PartialAnswer::continuationBody(const RequestContext &context) const
 {
     const std::uint32_t have = tokens();
     if (have == 0) {
--- a/src/vanilladyke/gateway/answer_so_far.hpp
+++ b/src/vanilladyke/gateway/partial_answer.hpp
@@ -12,11 +12,11 @@
 ///
 /// Frames are kept as received and parsed only when an engine is lost: parsing each frame on
 /// arrival would add a cost to every stream, though few need it.
-class AnswerSoFar
+class PartialAnswer
 {
 public:
     /// @param start frames before the first one stored here
-    explicit AnswerSoFar(std::uint32_t start = 0)
+    explicit PartialAnswer(std::uint32_t start = 0)
         : m_start(start)
     {}
 
@@ -28,7 +28,7 @@
     /// @brief Number of frames up to and including the last one with text.
     [[nodiscard]] std::uint32_t tokens() const;
     /// @brief The request's body with the partial answer appended to its prompt.
-    [[nodiscard]] std::string continuedBody(const RequestContext &context) const;
+    [[nodiscard]] std::string continuationBody(const RequestContext &context) const;
 
 private:
     [[nodiscard]] std::string text() const;
