--- a/include/vanilladyke/gateway/engine_exchange.hpp
+++ b/include/vanilladyke/gateway/engine_exchange.hpp
@@ -78,7 +78,7 @@
     [[nodiscard]] Outcome<StreamFrame, ExchangeFailure> next(TimePoint deadline);
     /// @brief When the engine last sent any bytes, comments included; initially, when the request
     /// was sent.
-    [[nodiscard]] TimePoint heardAt() const;
+    [[nodiscard]] TimePoint lastReceivedAt() const;
 
 private:
     struct Shared;
--- a/src/vanilladyke/gateway/conversation.cpp
+++ b/src/vanilladyke/gateway/conversation.cpp
@@ -392,7 +392,7 @@
 /// later frames may take any time as long as the connection carries data.
 TimePoint Conversation::idleDeadline() const
 {
-    const TimePoint idleAt = m_exchange->heardAt() + m_call.silence;
+    const TimePoint idleAt = m_exchange->lastReceivedAt() + m_call.silence;
     return m_guard.offset() == 0 ? std::min(idleAt, m_giveUpAt) : idleAt;
 }
 
--- a/src/vanilladyke/gateway/engine_exchange.cpp
+++ b/src/vanilladyke/gateway/engine_exchange.cpp
@@ -137,7 +137,7 @@
     std::unique_ptr<httplib::Client> ownedClient;
     httplib::Client &client;
     SseParser parser;
-    std::atomic<TimePoint> heardAt{MonotonicClock::now()};
+    std::atomic<TimePoint> lastReceivedAt{MonotonicClock::now()};
     std::mutex mutex;
     std::condition_variable changed;
     std::deque<Outcome<StreamFrame, ExchangeFailure>> items;
@@ -175,7 +175,7 @@
 
 bool EngineExchange::Shared::checkHead(const httplib::Response &response)
 {
-    heardAt = MonotonicClock::now();
+    lastReceivedAt = MonotonicClock::now();
     if (response.status != 200) {
         const bool refused = provesRefusal(response.status);
         fail(refused ? ExchangeError::Rejected : ExchangeError::Reset,
@@ -195,7 +195,7 @@
 
 bool EngineExchange::Shared::take(std::string_view bytes)
 {
-    heardAt = MonotonicClock::now();
+    lastReceivedAt = MonotonicClock::now();
     parser.feed(bytes);
     while (std::optional<SseEvent> event = parser.next()) {
         if (!push(frameOf(std::move(*event)))) {
@@ -272,9 +272,9 @@
     return item;
 }
 
-TimePoint EngineExchange::heardAt() const
+TimePoint EngineExchange::lastReceivedAt() const
 {
-    return m_shared->heardAt;
+    return m_shared->lastReceivedAt;
 }
 
 } // namespace vanilladyke
