--- a/include/vanilladyke/gateway/engine_exchange.hpp
+++ b/include/vanilladyke/gateway/engine_exchange.hpp
@@ -29,7 +29,7 @@
     Priority priority = Priority::Normal;
     std::uint32_t resumeOffset = 0; ///< frames of the answer to skip
     std::uint32_t answerOffset = 0; ///< answer tokens appended to the prompt
-    Duration silence =
+    Duration idleTimeout =
             std::chrono::seconds(2); ///< the bundle's limit; the reader's time-out is a multiple
 };
 
@@ -47,7 +47,7 @@
     ConnectFailed, ///< nothing was sent
     Rejected,      ///< the engine refused the call and certainly did not run it
     Reset,         ///< connection lost before the end marker, or a server error
-    Silent,        ///< no data before the deadline
+    TimedOut,      ///< no data before the deadline
     Mismatch,      ///< answer of another attempt, incarnation or weights version
 };
 
--- a/src/vanilladyke/gateway/conversation.cpp
+++ b/src/vanilladyke/gateway/conversation.cpp
@@ -25,7 +25,7 @@
     case ExchangeError::Rejected:
         return AttemptEnd::Refused;
     case ExchangeError::Reset:
-    case ExchangeError::Silent:
+    case ExchangeError::TimedOut:
     case ExchangeError::Mismatch:
         return AttemptEnd::Broken;
     }
@@ -163,7 +163,7 @@
     m_call.path = m_context.path;
     m_call.chain = m_context.chain;
     m_call.priority = m_context.priority;
-    m_call.silence = m_context.fleet->bundle->limits.streamSilence;
+    m_call.idleTimeout = m_context.fleet->bundle->limits.streamSilence;
     // For a resumed stream, frames that the caller has are read again, so that the answer can
     // continue on another engine.
     const bool stored = m_answer.covers(m_guard.offset());
@@ -392,7 +392,7 @@
 /// later frames may take any time as long as the connection carries data.
 TimePoint Conversation::idleDeadline() const
 {
-    const TimePoint idleAt = m_exchange->lastReceivedAt() + m_call.silence;
+    const TimePoint idleAt = m_exchange->lastReceivedAt() + m_call.idleTimeout;
     return m_guard.offset() == 0 ? std::min(idleAt, m_giveUpAt) : idleAt;
 }
 
@@ -400,7 +400,7 @@
 std::optional<StreamStep> Conversation::readAttempt(TimePoint until)
 {
     auto item = m_exchange->next(std::min(until, idleDeadline()));
-    if (!item && item.error().error == ExchangeError::Silent) {
+    if (!item && item.error().error == ExchangeError::TimedOut) {
         const TimePoint now = MonotonicClock::now();
         if (now < idleDeadline()) {
             return now < until ? std::nullopt : std::optional<StreamStep>(StillWaiting{});
--- a/src/vanilladyke/gateway/engine_exchange.cpp
+++ b/src/vanilladyke/gateway/engine_exchange.cpp
@@ -93,7 +93,7 @@
         return "rejected";
     case ExchangeError::Reset:
         return "reset";
-    case ExchangeError::Silent:
+    case ExchangeError::TimedOut:
         return "silent";
     case ExchangeError::Mismatch:
         return "mismatch";
@@ -109,7 +109,7 @@
     case ExchangeError::Rejected:
         return ExchangeEvent::RefusalReceived;
     case ExchangeError::Reset:
-    case ExchangeError::Silent:
+    case ExchangeError::TimedOut:
     case ExchangeError::Mismatch:
         return ExchangeEvent::ConnectionLost;
     }
@@ -220,8 +220,8 @@
     };
     client.set_connection_timeout(ConnectTimeout);
     client.set_tcp_nodelay(true);
-    client.set_read_timeout(call.silence * ReaderTimeoutFactor);
-    client.set_write_timeout(call.silence);
+    client.set_read_timeout(call.idleTimeout * ReaderTimeoutFactor);
+    client.set_write_timeout(call.idleTimeout);
     const httplib::Result result = client.send(request);
     const bool unconnected = !result && failedBeforeSending(result.error());
     // The library may report a connect error for a connection lost later, after bytes were sent.
@@ -263,7 +263,7 @@
     const bool filled = m_shared->changed.wait_until(lock, deadline,
                                                      [this] { return !m_shared->items.empty(); });
     if (!filled) {
-        return failure(ExchangeFailure{ExchangeError::Silent,
+        return failure(ExchangeFailure{ExchangeError::TimedOut,
                                        "no data from the engine before the deadline"});
     }
     Outcome<StreamFrame, ExchangeFailure> item = std::move(m_shared->items.front());
--- a/src/vanilladyke/gateway/service_exchange.cpp
+++ b/src/vanilladyke/gateway/service_exchange.cpp
@@ -40,7 +40,7 @@
         return {ExchangeError::ConnectFailed, detail};
     }
     const bool late = MonotonicClock::now() >= deadline;
-    return {late ? ExchangeError::Silent : ExchangeError::Reset, detail};
+    return {late ? ExchangeError::TimedOut : ExchangeError::Reset, detail};
 }
 
 } // namespace
