--- a/include/vanilladyke/gateway/engine_slots.hpp
+++ b/include/vanilladyke/gateway/engine_slots.hpp
@@ -25,9 +25,9 @@
     /// @brief Engines excluded for the model now: ejected engines, and engines where this node's
     /// share is used up, unless all the others are full.
     /// @param tried engines that failed the request; they don't count as available
-    [[nodiscard]] std::vector<EngineId> closedFor(const ModelId &model, const Fleet &fleet,
-                                                  const std::vector<EngineId> &tried,
-                                                  TimePoint now) const;
+    [[nodiscard]] std::vector<EngineId> excludedFor(const ModelId &model, const Fleet &fleet,
+                                                    const std::vector<EngineId> &tried,
+                                                    TimePoint now) const;
     /// @brief Counts a request sent to the engine.
     void begin(const EngineId &engine, const ModelId &model);
     void end(const EngineId &engine, const ModelId &model);
@@ -35,8 +35,8 @@
     void observe(const ExchangeObservation &observed, const Fleet &fleet, TimePoint now);
     /// @brief When the first ejected engine of the model may be used again; none if none is
     /// ejected.
-    [[nodiscard]] std::optional<TimePoint> firstReturn(const ModelId &model, const Fleet &fleet,
-                                                       TimePoint now) const;
+    [[nodiscard]] std::optional<TimePoint>
+    earliestReadmission(const ModelId &model, const Fleet &fleet, TimePoint now) const;
 
 private:
     struct Use
--- a/src/vanilladyke/gateway/admission_control.cpp
+++ b/src/vanilladyke/gateway/admission_control.cpp
@@ -198,7 +198,7 @@
             now);
     if (decision.verdict == AdmissionVerdict::Refuse) {
         if (decision.reason == RefusalReason::NoBackend) {
-            decision.retryAt = m_engines.firstReturn(context.model, *fleet, now);
+            decision.retryAt = m_engines.earliestReadmission(context.model, *fleet, now);
         }
         return decision;
     }
--- a/src/vanilladyke/gateway/conversation.cpp
+++ b/src/vanilladyke/gateway/conversation.cpp
@@ -129,7 +129,7 @@
     }
     const std::shared_ptr<const Fleet> fleet = m_environment.fleet.current();
     EngineSlots &slots = m_environment.control.engines;
-    std::vector<EngineId> excluded = slots.closedFor(m_context.model, *fleet, m_excluded, now);
+    std::vector<EngineId> excluded = slots.excludedFor(m_context.model, *fleet, m_excluded, now);
     excluded.insert(excluded.end(), m_excluded.begin(), m_excluded.end());
     std::optional<PlacedAttempt> placed =
             m_environment.control.placer.placeAttempt(m_context, *fleet, excluded, m_random);
@@ -139,7 +139,7 @@
         }
         m_finished = true;
         return Refusal{RefusalReason::NoBackend, "no engine serves the model", m_state.ran(),
-                       slots.firstReturn(m_context.model, *fleet, now)};
+                       slots.earliestReadmission(m_context.model, *fleet, now)};
     }
     m_call.engine = placed->engine;
     m_firstFrameAt.reset();
--- a/src/vanilladyke/gateway/engine_slots.cpp
+++ b/src/vanilladyke/gateway/engine_slots.cpp
@@ -117,9 +117,9 @@
     return sum;
 }
 
-std::vector<EngineId> EngineSlots::closedFor(const ModelId &model, const Fleet &fleet,
-                                             const std::vector<EngineId> &tried,
-                                             TimePoint now) const
+std::vector<EngineId> EngineSlots::excludedFor(const ModelId &model, const Fleet &fleet,
+                                               const std::vector<EngineId> &tried,
+                                               TimePoint now) const
 {
     const std::lock_guard lock(m_mutex);
     std::vector<EngineId> ejected;
@@ -164,8 +164,8 @@
     }
 }
 
-std::optional<TimePoint> EngineSlots::firstReturn(const ModelId &model, const Fleet &fleet,
-                                                  TimePoint now) const
+std::optional<TimePoint> EngineSlots::earliestReadmission(const ModelId &model, const Fleet &fleet,
+                                                          TimePoint now) const
 {
     const std::lock_guard lock(m_mutex);
     std::optional<TimePoint> first;
--- a/src/vanilladyke/gateway/engine_slots_test.cpp
+++ b/src/vanilladyke/gateway/engine_slots_test.cpp
@@ -50,34 +50,36 @@
     EngineSlots slots;
 };
 
-TEST_F(EngineSlotsTest, ClosesAFullEngineWhileAnotherHasRoom)
+TEST_F(EngineSlotsTest, ExcludesAFullEngineWhileAnotherIsAvailable)
 {
     EXPECT_EQ(slots.slotsFor(copyModel(), fleet, now), 4U);
     fill("e0");
-    EXPECT_EQ(slots.closedFor(copyModel(), fleet, {}, now), std::vector<EngineId>{EngineId("e0")});
+    EXPECT_EQ(slots.excludedFor(copyModel(), fleet, {}, now),
+              std::vector<EngineId>{EngineId("e0")});
     fill("e1");
-    EXPECT_TRUE(slots.closedFor(copyModel(), fleet, {}, now).empty());
+    EXPECT_TRUE(slots.excludedFor(copyModel(), fleet, {}, now).empty());
 }
 
 // An engine crashes while the others are full. If its free slots counted as available, the full
 // engines would be excluded from the retry, and the caller refused although they still work.
-TEST_F(EngineSlotsTest, OpensFullEnginesToARetryThatCanGoNowhereElse)
+TEST_F(EngineSlotsTest, AllowsFullEnginesForARetryWithNoOtherEngine)
 {
     fill("e0");
-    EXPECT_TRUE(slots.closedFor(copyModel(), fleet, {EngineId("e1")}, now).empty());
+    EXPECT_TRUE(slots.excludedFor(copyModel(), fleet, {EngineId("e1")}, now).empty());
 }
 
 // An ejected engine must stay excluded even when all others are full, or overload would send
 // requests to a failing engine.
-TEST_F(EngineSlotsTest, KeepsAnEjectedEngineClosed)
+TEST_F(EngineSlotsTest, ExcludesAnEjectedEngineEvenIfAllOthersAreFull)
 {
     for (int i = 0; i < Ejection::FailuresToEject; ++i) {
         slots.observe({EngineId("e1"), true, {}, {}}, fleet, now);
     }
     fill("e0");
-    EXPECT_EQ(slots.closedFor(copyModel(), fleet, {}, now), std::vector<EngineId>{EngineId("e1")});
+    EXPECT_EQ(slots.excludedFor(copyModel(), fleet, {}, now),
+              std::vector<EngineId>{EngineId("e1")});
     EXPECT_EQ(slots.slotsFor(copyModel(), fleet, now), 2U);
-    EXPECT_TRUE(slots.firstReturn(copyModel(), fleet, now).has_value());
+    EXPECT_TRUE(slots.earliestReadmission(copyModel(), fleet, now).has_value());
 }
 
 } // namespace
