--- a/include/vanilladyke/gateway/admission_control.hpp
+++ b/include/vanilladyke/gateway/admission_control.hpp
@@ -34,9 +34,9 @@
     ~SlotLease();
 
     /// @brief Records the time of the first token for the predictions. Later calls have no effect.
-    void firstTokenCame(TimePoint now);
+    void recordFirstToken(TimePoint now);
     /// @brief Marks the answer as complete, so that its time in the slot counts as a measurement.
-    void completed() { m_completed = true; }
+    void markCompleted() { m_completed = true; }
 
 private:
     AdmissionControl &m_control;
@@ -44,7 +44,7 @@
     QueueTicket m_ticket;
     Duration m_predictedFirstToken;
     TimePoint m_startedAt;
-    bool m_firstTokenCame = false;
+    bool m_firstTokenSeen = false;
     bool m_completed = false;
 };
 
--- a/include/vanilladyke/gateway/placer.hpp
+++ b/include/vanilladyke/gateway/placer.hpp
@@ -29,14 +29,14 @@
     ~AttemptWork();
 
     /// @brief Records that the prefill is complete. Later calls have no effect.
-    void firstTokenCame();
+    void recordFirstToken();
     /// @brief Records how many prompt tokens the engine reports as cached.
-    void cachedTokensTold(std::uint32_t tokens);
+    void recordCachedTokens(std::uint32_t tokens);
 
 private:
     Placer &m_placer;
     PlacedRequest m_placed;
-    bool m_firstTokenCame = false;
+    bool m_firstTokenSeen = false;
 };
 
 /// @brief The engine chosen for an attempt, and when its first token is expected.
--- a/src/vanilladyke/gateway/admission_control.cpp
+++ b/src/vanilladyke/gateway/admission_control.cpp
@@ -96,10 +96,10 @@
     m_control.releaseSlot(m_model, m_ticket, m_completed);
 }
 
-void SlotLease::firstTokenCame(TimePoint now)
+void SlotLease::recordFirstToken(TimePoint now)
 {
-    if (!m_firstTokenCame) {
-        m_firstTokenCame = true;
+    if (!m_firstTokenSeen) {
+        m_firstTokenSeen = true;
         m_control.learnFirstToken(m_model, m_predictedFirstToken, now - m_startedAt);
     }
 }
--- a/src/vanilladyke/gateway/conversation.cpp
+++ b/src/vanilladyke/gateway/conversation.cpp
@@ -242,10 +242,10 @@
         observe(false, now - m_attemptedAt);
     }
     if (m_context.slot) {
-        m_context.slot->firstTokenCame(now);
+        m_context.slot->recordFirstToken(now);
     }
     if (m_context.slot && frame.end) {
-        m_context.slot->completed();
+        m_context.slot->markCompleted();
     }
     if (frame.end) {
         m_environment.control.quarantine.recordAnswer(m_context, now);
@@ -264,9 +264,9 @@
 
 void Conversation::updatePlacer(const StreamFrame &frame)
 {
-    m_work->firstTokenCame();
+    m_work->recordFirstToken();
     if (const auto cached = cachedTokensIn(frame.data)) {
-        m_work->cachedTokensTold(*cached);
+        m_work->recordCachedTokens(*cached);
     }
 }
 
--- a/src/vanilladyke/gateway/placer.cpp
+++ b/src/vanilladyke/gateway/placer.cpp
@@ -39,17 +39,17 @@
     m_placer.m_policy.finished(m_placed, MonotonicClock::now());
 }
 
-void AttemptWork::firstTokenCame()
+void AttemptWork::recordFirstToken()
 {
-    if (m_firstTokenCame) {
+    if (m_firstTokenSeen) {
         return;
     }
-    m_firstTokenCame = true;
+    m_firstTokenSeen = true;
     const std::lock_guard lock(m_placer.m_mutex);
     m_placer.m_policy.firstToken(m_placed, MonotonicClock::now());
 }
 
-void AttemptWork::cachedTokensTold(std::uint32_t tokens)
+void AttemptWork::recordCachedTokens(std::uint32_t tokens)
 {
     const std::lock_guard lock(m_placer.m_mutex);
     m_placer.m_policy.learn(m_placed, tokens);
