--- a/src/vanilladyke/gateway/caller_server.cpp
+++ b/src/vanilladyke/gateway/caller_server.cpp
@@ -200,7 +200,8 @@
     ServiceCall call = serviceCallOf(request);
     disableMultipartParsing(request);
     if (const auto refusal = admit(context, reader)) {
-        writeRefusal(forAllTries(*refusal, call), context.id, MonotonicClock::now(), response);
+        writeRefusal(withEarlierAttempts(*refusal, call), context.id, MonotonicClock::now(),
+                     response);
         return;
     }
     services(std::move(context), std::move(call), response);
--- a/src/vanilladyke/gateway/service_handler.cpp
+++ b/src/vanilladyke/gateway/service_handler.cpp
@@ -41,7 +41,7 @@
 
 } // namespace
 
-Refusal forAllTries(Refusal refusal, const ServiceCall &call)
+Refusal withEarlierAttempts(Refusal refusal, const ServiceCall &call)
 {
     if (call.repeat && refusal.reason != RefusalReason::KeyReused) {
         refusal.ran = Ran::Unknown;
@@ -180,7 +180,8 @@
 {
     m_metrics.count("service_calls_total");
     if (const FilterVerdict refusal = m_chain(context)) {
-        writeRefusal(forAllTries(*refusal, call), context.id, MonotonicClock::now(), response);
+        writeRefusal(withEarlierAttempts(*refusal, call), context.id, MonotonicClock::now(),
+                     response);
         return;
     }
     call.request = context.id;
@@ -188,7 +189,7 @@
     call.body = std::move(context.body);
     auto outcome = answer(context, call);
     if (!outcome) {
-        writeRefusal(forAllTries(outcome.error(), call), context.id, MonotonicClock::now(),
+        writeRefusal(withEarlierAttempts(outcome.error(), call), context.id, MonotonicClock::now(),
                      response);
         return;
     }
--- a/src/vanilladyke/gateway/service_handler.hpp
+++ b/src/vanilladyke/gateway/service_handler.hpp
@@ -19,7 +19,7 @@
 ///
 /// `ran` of the refusal covers this attempt only; an earlier one may still run elsewhere. Only a
 /// key that was used for another call rules out that this call was sent.
-[[nodiscard]] Refusal forAllTries(Refusal refusal, const ServiceCall &call);
+[[nodiscard]] Refusal withEarlierAttempts(Refusal refusal, const ServiceCall &call);
 
 /// @brief Forwards calls to plain services. Thread-safe.
 class ServiceHandler
