--- a/src/vanilladyke/gateway/completion_handler.cpp
+++ b/src/vanilladyke/gateway/completion_handler.cpp
@@ -126,7 +126,7 @@
     if (context.lastEventId.empty()) {
         return std::nullopt;
     }
-    context.resumeAt = m_signer.open(context.lastEventId, context);
+    context.resumeAt = m_signer.verify(context.lastEventId, context);
     if (!context.resumeAt || !context.streamed) {
         return Refusal{RefusalReason::BadRequest,
                        "Last-Event-ID names no position in a stream of this request", Ran::No,
--- a/src/vanilladyke/gateway/deadline_header_test.cpp
+++ b/src/vanilladyke/gateway/deadline_header_test.cpp
@@ -20,7 +20,7 @@
 
 // A caller sends malformed text, or seconds instead of milliseconds. Accepting it would refuse the
 // request as late or keep it for years; it must be rejected as invalid.
-TEST(DeadlineHeader, RefusesWhatIsNoTimeNearNow)
+TEST(DeadlineHeader, RejectsTextThatIsNotATimeNearNow)
 {
     for (const char *text :
          {"", "soon", "12 ", "1800000000", "99999999999999999999", "9223372036854775807",
--- a/src/vanilladyke/gateway/event_id.cpp
+++ b/src/vanilladyke/gateway/event_id.cpp
@@ -99,8 +99,8 @@
     return macOf(m_key, text, context) + Separator + text;
 }
 
-std::optional<StreamPosition> EventSigner::open(std::string_view id,
-                                                const RequestContext &context) const
+std::optional<StreamPosition> EventSigner::verify(std::string_view id,
+                                                  const RequestContext &context) const
 {
     if (id.size() <= MacDigits || id.size() > MaxIdBytes || id[MacDigits] != Separator) {
         return std::nullopt;
--- a/src/vanilladyke/gateway/event_id.hpp
+++ b/src/vanilladyke/gateway/event_id.hpp
@@ -32,8 +32,8 @@
                                    const RequestContext &context) const;
     /// @brief The position encoded in an id; none if the id was not signed with this key for this
     /// customer and prompt.
-    [[nodiscard]] std::optional<StreamPosition> open(std::string_view id,
-                                                     const RequestContext &context) const;
+    [[nodiscard]] std::optional<StreamPosition> verify(std::string_view id,
+                                                       const RequestContext &context) const;
 
 private:
     EventKey m_key;
--- a/src/vanilladyke/gateway/event_id_test.cpp
+++ b/src/vanilladyke/gateway/event_id_test.cpp
@@ -23,20 +23,20 @@
 {
     const EventKey key = randomEventKey();
     const std::string id = EventSigner(key).sign(somePosition(), someRequest("brand"));
-    EXPECT_EQ(EventSigner(key).open(id, someRequest("brand")), somePosition());
-    EXPECT_FALSE(EventSigner(randomEventKey()).open(id, someRequest("brand")).has_value());
+    EXPECT_EQ(EventSigner(key).verify(id, someRequest("brand")), somePosition());
+    EXPECT_FALSE(EventSigner(randomEventKey()).verify(id, someRequest("brand")).has_value());
 }
 
 // A caller uses the event id of another customer's stream, or resumes with another prompt. If
 // accepted, it would read an answer that is not its own.
-TEST(EventId, IsNoUseToAnotherCustomerOrPrompt)
+TEST(EventId, RejectsAnotherCustomerOrPrompt)
 {
     const EventSigner signer(randomEventKey());
     const std::string id = signer.sign(somePosition(), someRequest("brand"));
-    EXPECT_FALSE(signer.open(id, someRequest("trader")).has_value());
+    EXPECT_FALSE(signer.verify(id, someRequest("trader")).has_value());
     RequestContext other = someRequest("brand");
     other.chain.back().hash.low = 3;
-    EXPECT_FALSE(signer.open(id, other).has_value());
+    EXPECT_FALSE(signer.verify(id, other).has_value());
 }
 
 // A caller alters one character of an id to resume at another offset or stream.
@@ -47,12 +47,12 @@
     char &character = id[place % id.size()];
     RC_PRE(character != put);
     character = put;
-    RC_ASSERT(!signer.open(id, someRequest("brand")).has_value());
+    RC_ASSERT(!signer.verify(id, someRequest("brand")).has_value());
 }
 
 RC_GTEST_PROP(EventId, RefusesRandomText, (const std::string &text))
 {
-    RC_ASSERT(!EventSigner(EventKey{}).open(text, someRequest("brand")).has_value());
+    RC_ASSERT(!EventSigner(EventKey{}).verify(text, someRequest("brand")).has_value());
     RC_ASSERT(!parseEventKey(text).has_value());
 }
 
