--- a/include/vanilladyke/gateway/caller_server.hpp
+++ b/include/vanilladyke/gateway/caller_server.hpp
@@ -42,13 +42,13 @@
     // A graceful shutdown calls these in this order.
 
     /// @brief Reports the node as not ready to the load balancer; new requests are still served.
-    void leave();
+    void beginDrain();
     /// @brief Refuses new requests, in case the load balancer keeps sending them.
     void refuseNew();
     /// @brief Waits until every request is fully answered. @return false at the deadline
     [[nodiscard]] bool waitUntilIdle(TimePoint deadline);
     /// @brief Ends every open stream with an error that states whether the request may have run.
-    void hurry();
+    void abortStreams();
     /// @brief Closes the port and all open connections.
     void stop();
 
--- a/src/vanilladyke/app/shutdown.cpp
+++ b/src/vanilladyke/app/shutdown.cpp
@@ -49,14 +49,14 @@
 
 void shutDown(CallerServer &callers, const sigset_t &signals, Duration balancerLag)
 {
-    callers.leave();
+    callers.beginDrain();
     bool hurried = signalledBefore(signals, MonotonicClock::now() + balancerLag);
     callers.refuseNew();
     while (!hurried && !callers.waitUntilIdle(MonotonicClock::now() + LookForSignalEvery)) {
         hurried = signalledBefore(signals, MonotonicClock::now());
     }
     if (hurried) {
-        callers.hurry();
+        callers.abortStreams();
         static_cast<void>(callers.waitUntilIdle(MonotonicClock::now() + HurryWithin));
     }
     callers.stop();
--- a/src/vanilladyke/gateway/caller_server.cpp
+++ b/src/vanilladyke/gateway/caller_server.cpp
@@ -310,7 +310,7 @@
     m_private->server.listen_after_bind();
 }
 
-void CallerServer::leave()
+void CallerServer::beginDrain()
 {
     m_private->stage = ServerStage::Draining;
 }
@@ -325,9 +325,9 @@
     return m_private->openRequests.waitForNone(deadline);
 }
 
-void CallerServer::hurry()
+void CallerServer::abortStreams()
 {
-    m_private->completions.hurry();
+    m_private->completions.abortStreams();
 }
 
 void CallerServer::stop()
--- a/src/vanilladyke/gateway/completion_handler.cpp
+++ b/src/vanilladyke/gateway/completion_handler.cpp
@@ -110,13 +110,13 @@
     , m_tls(std::move(tls))
     , m_canceller(m_tls)
     , m_control(node, metrics)
-    , m_environment{node.fleet, m_control, m_threads, m_canceller, m_tls, m_hurried}
+    , m_environment{node.fleet, m_control, m_threads, m_canceller, m_tls, m_aborting}
     , m_chain({}, {}, {}, {}, {&m_control.admission}, {&m_control.admission})
 {}
 
-void CompletionHandler::hurry()
+void CompletionHandler::abortStreams()
 {
-    m_hurried = true;
+    m_aborting = true;
     m_control.admission.refuseWaiting();
 }
 
--- a/src/vanilladyke/gateway/completion_handler.hpp
+++ b/src/vanilladyke/gateway/completion_handler.hpp
@@ -27,7 +27,7 @@
 
     void operator()(RequestContext context, httplib::Response &response);
     /// @brief Ends every conversation with an error that states whether the request may have run.
-    void hurry();
+    void abortStreams();
 
 private:
     void stream(const std::shared_ptr<Conversation> &conversation, StreamFrame first,
@@ -41,7 +41,7 @@
     const BackendTls m_tls;
     ReaderThreads m_threads;
     StreamCanceller m_canceller;
-    std::atomic<bool> m_hurried{false};
+    std::atomic<bool> m_aborting{false};
     TrafficControl m_control;
     ConversationEnvironment m_environment;
     FilterChain<IdentifyCustomer, ParseCompletion, SetDeadline, CutPrefixes, Admit, Queue> m_chain;
--- a/src/vanilladyke/gateway/conversation.cpp
+++ b/src/vanilladyke/gateway/conversation.cpp
@@ -429,7 +429,7 @@
 StreamStep Conversation::next(TimePoint until)
 {
     while (true) {
-        if (m_environment.hurried) {
+        if (m_environment.aborting) {
             Refusal refusal = giveUp("this node was told to stop at once");
             refusal.reason = RefusalReason::ShuttingDown;
             return refusal;
--- a/src/vanilladyke/gateway/conversation.hpp
+++ b/src/vanilladyke/gateway/conversation.hpp
@@ -30,7 +30,7 @@
     ReaderThreads &threads;
     StreamCanceller &canceller;
     const BackendTls &tls;
-    const std::atomic<bool> &hurried; ///< the node stops without waiting for answers
+    const std::atomic<bool> &aborting; ///< the node stops without waiting for answers
 };
 
 /// @brief No frame arrived before the given time; the conversation continues.
