--- a/src/vanilladyke/gateway/engine_slots.cpp
+++ b/src/vanilladyke/gateway/engine_slots.cpp
@@ -123,7 +123,7 @@
 {
     const std::lock_guard lock(m_mutex);
     std::vector<EngineId> ejected;
-    std::vector<EngineId> closed;
+    std::vector<EngineId> exhausted;
     bool anyAvailable = false;
     for (const EngineView &engine : fleet.engines) {
         if (!serves(engine, model)) {
@@ -133,12 +133,12 @@
             ejected.push_back(engine.id);
         }
         if (full(engine, now)) {
-            closed.push_back(engine.id);
+            exhausted.push_back(engine.id);
         } else if (std::find(tried.begin(), tried.end(), engine.id) == tried.end()) {
             anyAvailable = true;
         }
     }
-    return anyAvailable ? closed : ejected;
+    return anyAvailable ? exhausted : ejected;
 }
 
 void EngineSlots::begin(const EngineId &engine, const ModelId &model)
--- a/src/vanilladyke/gateway/filters_test.cpp
+++ b/src/vanilladyke/gateway/filters_test.cpp
@@ -56,8 +56,9 @@
     }
 }
 
-// A faulty client sends fields of the wrong type or size. They must be refused as bad requests;
-// accepted unchecked, a negative limit would become four billion tokens.
+// A faulty client sends fields of the wrong type or size. They must be refused as bad requests, so
+// that the client can see which one is wrong; accepted unchecked, a negative limit would become
+// four billion tokens.
 TEST(ParseCompletion, RefusesWrongTypesAndSizes)
 {
     const std::vector<std::pair<std::string, nlohmann::json>> wrong{
