--- a/include/vanilladyke/gateway/traffic_control.hpp
+++ b/include/vanilladyke/gateway/traffic_control.hpp
@@ -4,14 +4,14 @@
 #include "vanilladyke/gateway/admission_control.hpp"
 #include "vanilladyke/gateway/engine_slots.hpp"
 #include "vanilladyke/gateway/placer.hpp"
-#include "vanilladyke/gateway/quarantine_desk.hpp"
+#include "vanilladyke/gateway/shared_request_quarantine.hpp"
 #include "vanilladyke/policy/retry_budget.hpp"
 
 #include <mutex>
 
 namespace vanilladyke {
 
-/// @brief The node's retry budgets. Any thread.
+/// @brief The node's retry budgets. Thread-safe.
 class SharedRetryBudgets
 {
 public:
@@ -39,7 +39,7 @@
     RetryBudgets m_budgets;
 };
 
-/// @brief What the requests of one node share when they compete for engines.
+/// @brief State shared by all requests of one node that compete for engines.
 struct TrafficControl
 {
     TrafficControl(const NodeState &node, Metrics &metrics)
@@ -50,7 +50,7 @@
     EngineSlots engines;
     Placer placer;
     SharedRetryBudgets retries;
-    QuarantineDesk quarantine;
+    SharedRequestQuarantine quarantine;
     AdmissionControl admission;
 };
 
--- a/src/vanilladyke/gateway/completion_handler.hpp
+++ b/src/vanilladyke/gateway/completion_handler.hpp
@@ -18,7 +18,7 @@
 
 namespace vanilladyke {
 
-/// @brief Answers chat and plain completions, streamed or whole. Any thread.
+/// @brief Answers chat and plain completions, streamed or not. Thread-safe.
 class CompletionHandler
 {
 public:
@@ -26,8 +26,8 @@
                       BackendTls tls);
 
     void operator()(RequestContext context, httplib::Response &response);
-    /// @brief From now on every conversation ends with a truthful error.
-    void hurry();
+    /// @brief Ends every conversation with an error that states whether the request may have run.
+    void abortStreams();
 
 private:
     void stream(const std::shared_ptr<Conversation> &conversation, StreamFrame first,
@@ -41,7 +41,7 @@
     const BackendTls m_tls;
     ReaderThreads m_threads;
     StreamCanceller m_canceller;
-    std::atomic<bool> m_hurried{false};
+    std::atomic<bool> m_aborting{false};
     TrafficControl m_control;
     ConversationEnvironment m_environment;
     FilterChain<IdentifyCustomer, ParseCompletion, SetDeadline, CutPrefixes, Admit, Queue> m_chain;
--- a/src/vanilladyke/gateway/deadline_header_test.cpp
+++ b/src/vanilladyke/gateway/deadline_header_test.cpp
@@ -18,9 +18,9 @@
     EXPECT_EQ(parseDeadline("2027-01-15T16:00:00+08:00", Now), Now);
 }
 
-// A caller sends rubbish, or seconds where milliseconds belong. It must hear so, and not have its
-// request refused as late or kept for years.
-TEST(DeadlineHeader, RefusesWhatIsNoTimeNearNow)
+// A caller sends malformed text, or seconds instead of milliseconds. Accepting it would refuse the
+// request as late or keep it for years; it must be rejected as invalid.
+TEST(DeadlineHeader, RejectsTextThatIsNotATimeNearNow)
 {
     for (const char *text :
          {"", "soon", "12 ", "1800000000", "99999999999999999999", "9223372036854775807",
--- a/src/vanilladyke/gateway/quarantine_desk.cpp
+++ b/src/vanilladyke/gateway/shared_request_quarantine.cpp
@@ -1,4 +1,4 @@
-#include "vanilladyke/gateway/quarantine_desk.hpp"
+#include "vanilladyke/gateway/shared_request_quarantine.hpp"
 
 #include "vanilladyke/base/log.hpp"
 #include "vanilladyke/base/random.hpp"
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// Differs between lives of one engine.
-std::uint64_t lifeOf(const EngineView &engine)
+/// Identifies one incarnation of an engine.
+std::uint64_t incarnationHash(const EngineView &engine)
 {
     const auto incarnation = static_cast<std::uint64_t>(engine.incarnation);
     return hashOfName(engine.id.str() + "/" + std::to_string(incarnation));
@@ -21,7 +21,7 @@
 
 } // namespace
 
-QuarantineDesk::QuarantineDesk()
+SharedRequestQuarantine::SharedRequestQuarantine()
 {
     std::string key;
     for (int i = 0; i < 4; ++i) {
@@ -30,41 +30,42 @@
     m_digester.setKey(key);
 }
 
-WorkDigest QuarantineDesk::digestOf(const RequestContext &context) const
+WorkDigest SharedRequestQuarantine::digestOf(const RequestContext &context) const
 {
     return m_digester.digest({context.customer.str(), "POST", "", context.path, context.body});
 }
 
-std::optional<TimePoint> QuarantineDesk::heldUntil(const RequestContext &context,
-                                                   TimePoint now) const
+std::optional<TimePoint> SharedRequestQuarantine::heldUntil(const RequestContext &context,
+                                                            TimePoint now) const
 {
     const std::lock_guard lock(m_mutex);
     const bool mayBeHeld = m_quarantine.hasEvidence(hashOf(context.customer));
     return mayBeHeld ? m_quarantine.heldUntil(digestOf(context), now) : std::nullopt;
 }
 
-void QuarantineDesk::engineEnded(const RequestContext &context, const EngineView &engine,
-                                 const BrokenOff &brokenOff)
+void SharedRequestQuarantine::recordTermination(const RequestContext &context,
+                                                const EngineView &engine,
+                                                const ConnectionLoss &connectionLoss)
 {
     const WorkDigest digest = digestOf(context);
     const std::lock_guard lock(m_mutex);
-    const bool isHeld =
-            m_quarantine.recordTermination(digest, hashOf(context.customer),
-                                           {lifeOf(engine), brokenOff.at, brokenOff.hadJustBegun});
+    const bool isHeld = m_quarantine.recordTermination(
+            digest, hashOf(context.customer),
+            {incarnationHash(engine), connectionLoss.at, connectionLoss.hadJustBegun});
     LogEvent("engine_ended_under_request", Severity::Warning)
             .field("request", context.id.str())
             .field("engine", engine.id.str())
             .field("digest", digest.str())
-            .field("just_begun", brokenOff.hadJustBegun)
+            .field("just_begun", connectionLoss.hadJustBegun)
             .field("engines_ended", m_quarantine.terminationsUnder(digest))
             .field("held", isHeld);
 }
 
-void QuarantineDesk::answered(const RequestContext &context, TimePoint now)
+void SharedRequestQuarantine::recordAnswer(const RequestContext &context, TimePoint now)
 {
     const std::lock_guard lock(m_mutex);
-    const bool mayBeSuspected = m_quarantine.hasEvidence(hashOf(context.customer));
-    if (mayBeSuspected && m_quarantine.recordAnswer(digestOf(context), now)) {
+    const bool mayBeSuspect = m_quarantine.hasEvidence(hashOf(context.customer));
+    if (mayBeSuspect && m_quarantine.recordAnswer(digestOf(context), now)) {
         LogEvent("request_cleared").field("request", context.id.str());
     }
 }
