--- a/include/vanilladyke/control/bundle_board.hpp
+++ b/include/vanilladyke/control/bundle_board.hpp
@@ -12,28 +12,31 @@
 
 namespace vanilladyke {
 
-/// @brief What this node knows of bundles at one moment.
+/// @brief State of bundles and of the bundle log on this node at one point in time.
 struct BundleStatus
 {
-    std::shared_ptr<const AcceptedBundle> accepted; ///< null until one is known
+    std::shared_ptr<const AcceptedBundle> accepted; ///< null until a bundle has been accepted
     std::vector<HistoryEntry> history;
     bool logReachable = false;
-    bool logUnbroken = true; ///< false while a checkpoint is missing
-    std::string logTrouble;  ///< why the log can't be read, or why no bundle is taken from it
+    bool logUnbroken = true; ///< false while records are missing and no checkpoint replaces them
+    std::string logTrouble;  ///< why the log can't be read or no bundle is accepted from it
 };
 
-/// @brief Where the control thread shows operators' threads the state of bundles, and where a
-/// publisher waits for the verdict on its record.
+/// @brief Shares the bundle status between the control thread, which writes it, and the threads
+/// that serve operators. A publisher waits here for the verdict on its record. Thread-safe.
 class BundleBoard
 {
 public:
     [[nodiscard]] BundleStatus status() const;
-    /// @brief Waits for the verdict on a record, by its nonce or as the bundle in force.
-    /// @return none if it is not known by the deadline
+    /// @brief Waits for the verdict on a record, found by its nonce, or by its digest if it is the
+    /// active bundle.
+    /// @return none if there is no verdict by the deadline
     [[nodiscard]] std::optional<FoldNote>
     verdict(const std::string &nonce, const std::string &digest, TimePoint deadline) const;
 
+    /// @brief Replaces the status and wakes waiting publishers.
     void show(BundleStatus status);
+    /// @brief Adds a verdict and wakes waiting publishers.
     void addNote(FoldNote note);
 
 private:
--- a/include/vanilladyke/control/bundle_controller.hpp
+++ b/include/vanilladyke/control/bundle_controller.hpp
@@ -9,18 +9,18 @@
 
 namespace vanilladyke {
 
-/// @brief What the bundle controller needs to know of its host.
+/// @brief Settings and callbacks of a BundleController.
 struct BundleControl
 {
     NodeId node;
     TrustedSigners trusted;
-    Duration logRetention = std::chrono::hours(1); ///< how long the log keeps a record
-    /// @brief Appends a checkpoint to the log; returns at once.
+    Duration logRetention = std::chrono::hours(1); ///< for how long the log keeps a record
+    /// @brief Appends a checkpoint to the log without blocking.
     std::function<void(std::string record)> appendCheckpoint;
 };
 
-/// @brief Holds the bundle in force: what the fold over the log accepts, or a newer accepted one
-/// that a peer had. A lower version never replaces a higher one.
+/// @brief Holds the active bundle: the one that the fold over the log accepts, or a newer accepted
+/// one received from a peer. A lower version never replaces a higher one.
 class BundleController
 {
 public:
@@ -29,9 +29,10 @@
     void handle(const Event &event, TimePoint now);
     void contribute(Fleet &fleet, TimePoint now) const;
 
-    /// @brief The accepted bundle with its account, for a peer; empty if there is none.
+    /// @brief The accepted bundle with its history, encoded for a peer; empty if there is none.
     [[nodiscard]] std::string peerRecord() const;
-    /// @brief Takes what a peer's peerRecord() gave, if its signatures hold and it is newer.
+    /// @brief Activates the bundle of a peer's peerRecord() if its signatures are valid and its
+    /// version is newer.
     void takePeerRecord(std::string_view data);
 
 private:
--- a/include/vanilladyke/control/bundle_log.hpp
+++ b/include/vanilladyke/control/bundle_log.hpp
@@ -9,12 +9,12 @@
 #include <string>
 #include <thread>
 
-/// The log's stream "bundles" as the control thread needs it: calls that block run here.
+/// Threads that make the blocking calls to the log's stream "bundles" for the control thread.
 namespace vanilladyke {
 
 inline constexpr const char *BundleStream = "bundles";
 
-/// @brief Reads the stream from its start and then as it grows; posts each page.
+/// @brief Reads the stream from its start, follows its end, and posts each page to the inbox.
 class BundleLogTail
 {
 public:
@@ -28,13 +28,14 @@
     std::jthread m_thread;
 };
 
-/// @brief Appends checkpoints. One that fails is dropped: the controller asks again.
+/// @brief Appends checkpoints. A failed append is not retried here: the controller submits the
+/// checkpoint again while it is due.
 class CheckpointAppender
 {
 public:
     explicit CheckpointAppender(const Endpoint &log);
 
-    /// @brief Takes a record and returns at once; any thread.
+    /// @brief Queues a record without blocking; replaces one not yet sent. Thread-safe.
     void append(std::string record);
 
 private:
--- a/include/vanilladyke/control/bundle_snapshot.hpp
+++ b/include/vanilladyke/control/bundle_snapshot.hpp
@@ -7,10 +7,11 @@
 
 namespace vanilladyke {
 
-/// @brief Gives the accepted bundle to peers in bounded pieces, and takes it from them.
+/// @brief Sends the accepted bundle to peers in pieces of bounded size, and assembles received
+/// ones.
 ///
-/// A bundle may change while its pieces are on the way; so each piece names the digest of the
-/// whole, and pieces of different wholes are never put together.
+/// The bundle may change during a transfer. Each piece therefore carries the digest of the whole
+/// record, and pieces of different records are never combined.
 class BundleSnapshot
 {
 public:
@@ -18,17 +19,20 @@
 
     explicit BundleSnapshot(BundleController &bundles);
 
+    /// @brief The piece at byte offset @p cursor; cursor 0 starts a new transfer.
     [[nodiscard]] SnapshotPiece write(std::uint64_t cursor);
+    /// @brief Appends a piece; the last one hands the record to the controller if its digest
+    /// matches. A piece that does not follow the previous one aborts the transfer.
     void read(const SnapshotPiece &piece);
-    /// @brief The two as the snapshot controller wants them; this object must outlive it.
+    /// @brief write() and read() as a SnapshotStore; this object must outlive it.
     [[nodiscard]] SnapshotStore store();
 
 private:
     BundleController &m_bundles;
-    std::string m_given; ///< the record that is being given, and its digest
-    std::string m_givenDigest;
-    std::string m_taken; ///< what has come so far of the record that is being taken
-    std::string m_takenDigest;
+    std::string m_given;       ///< record being sent
+    std::string m_givenDigest; ///< digest of m_given
+    std::string m_taken;       ///< bytes received so far of the record being received
+    std::string m_takenDigest; ///< digest that the whole record must have
 };
 
 } // namespace vanilladyke
--- a/src/vanilladyke/control/bundle_board.cpp
+++ b/src/vanilladyke/control/bundle_board.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Verdicts that are kept for publishers which still wait; each waits for some seconds.
+/// Number of verdicts kept for waiting publishers; each publisher waits for a few seconds.
 constexpr std::size_t MostNotes = 4096;
 
 } // namespace
--- a/src/vanilladyke/control/bundle_controller.cpp
+++ b/src/vanilladyke/control/bundle_controller.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// Each further node waits this much longer before it writes the checkpoint that the first one
-/// should have written: time enough to append it and for all to read it.
+/// Delay per rank: the node of rank n appends a due checkpoint n times this later than the first
+/// node. Long enough for one node to append it and for all others to read it.
 constexpr Duration CheckpointRankDelay = std::chrono::seconds(2);
 constexpr Duration CheckpointLookEvery = std::chrono::milliseconds(500);
 
@@ -87,8 +87,8 @@
     return writeBundleRecord(record);
 }
 
-/// A peer's word counts no more than the signatures: a peer that lies can't bring in a bundle that
-/// was never signed, nor an older one.
+/// Signatures and version are checked as for a record of the log, so that a faulty peer can
+/// introduce neither an unsigned bundle nor an older one.
 void BundleController::takePeerRecord(std::string_view data)
 {
     auto record = parseBundleRecord(data);
@@ -99,7 +99,8 @@
         || validSigners(record->bundle, m_control.trusted).size() < m_control.trusted.needed) {
         LogEvent("bundle_refused", Severity::Warning)
                 .field("source", "peer")
-                .field("reason", whole ? "too few trusted signatures hold" : "not a whole record");
+                .field("reason", whole ? "bundle has too few valid signatures of trusted signers"
+                                       : "record is malformed or its history does not match");
         return;
     }
     const HistoryEntry last = record->checkpoint->history.back();
@@ -111,7 +112,7 @@
     show();
 }
 
-/// The log's own account, unless the bundle in force is known only from a peer.
+/// The history from the log, unless the active bundle was received only from a peer.
 const std::vector<HistoryEntry> &BundleController::history() const
 {
     const auto &fromLog = m_fold.history();
@@ -165,8 +166,8 @@
     m_control.appendCheckpoint(writeBundleRecord(*due));
 }
 
-/// By rendezvous over the live nodes: the order differs from bundle to bundle, and all nodes agree
-/// on it without a word.
+/// The rank comes from rendezvous hashing over the live nodes: the order differs between bundles,
+/// and all nodes compute the same order without exchanging messages.
 Duration BundleController::checkpointDelay() const
 {
     const std::shared_ptr<const Fleet> fleet = m_fleet.current();
@@ -189,7 +190,8 @@
     status.logUnbroken = m_fold.unbroken();
     status.logTrouble = m_logTrouble;
     if (m_logReachable && !m_fold.unbroken()) {
-        status.logTrouble = "records were dropped before they were read; waiting for a checkpoint";
+        status.logTrouble =
+                "log records were dropped before they were read; waiting for a checkpoint";
     }
     m_board.show(std::move(status));
 }
--- a/src/vanilladyke/control/bundle_log.cpp
+++ b/src/vanilladyke/control/bundle_log.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-/// The log holds a read back until there is a record, for most of this span; a connection that has
-/// gone silent is noticed after it.
+/// Reads are long polls: the log delays its answer until there is a record, for most of this time.
+/// A dead connection is detected when it has passed.
 constexpr Duration ReadWithin = std::chrono::seconds(2);
-/// An empty log would hold back the first answer, and operators would be told meanwhile that the
-/// log has not been read yet.
+/// Shorter for the first read: an empty log delays its answer, and until then the status shown to
+/// operators would say that the log has not been read yet.
 constexpr Duration FirstReadWithin = std::chrono::milliseconds(200);
 constexpr Duration AppendWithin = std::chrono::seconds(3);
 
@@ -30,7 +30,7 @@
     Random random(entropySeed());
     BackOff backOff;
     LogOffset from = 0;
-    // A read is held back by the log for seconds; a node that stops must not wait for it.
+    // A long poll lasts for seconds; cancelling it keeps the shutdown of the node from waiting.
     const std::stop_callback breakOff(stop, [this] { m_client.cancel(); });
     std::mutex mutex;
     std::condition_variable_any wake;
@@ -57,7 +57,7 @@
                     .field("reason", page.error().detail);
         }
         backOff.failed(MonotonicClock::now(), random);
-        m_inbox.post(BundleLogDown{"the log can't be read: " + page.error().detail});
+        m_inbox.post(BundleLogDown{"reading the bundle log failed: " + page.error().detail});
         std::unique_lock lock(mutex);
         wake.wait_until(lock, stop, backOff.retryAt(), [] { return false; });
     }
--- a/src/vanilladyke/control/bundle_snapshot_test.cpp
+++ b/src/vanilladyke/control/bundle_snapshot_test.cpp
@@ -13,7 +13,7 @@
     return signingKeyOf(bytes);
 }
 
-/// A node's bundle controller with all that it needs.
+/// A bundle controller with its dependencies.
 struct Node
 {
     Node()
@@ -29,7 +29,7 @@
         return control;
     }
 
-    /// The node reads this record from the log.
+    /// Passes a page of the log with this one record to the controller.
     void readLog(const std::string &data, LogOffset offset)
     {
         auto page = std::make_shared<LogPage>();
@@ -73,9 +73,9 @@
     } while (cursor != 0);
 }
 
-// The log is down and a node is replaced. Without its peer it could serve nobody until the log is
-// back.
-TEST(BundleSnapshot, ANodeTakesTheBundleOfAPeerWithItsAccount)
+// Guards against a replaced node that has no bundle, and so can't serve any request, for as long as
+// the log is down although a peer has the bundle.
+TEST(BundleSnapshot, NodeAcceptsBundleAndHistoryFromPeer)
 {
     Node peer;
     peer.readLog(record(1, "", signer(1), 3 * BundleSnapshot::PieceBytes), 0);
@@ -86,17 +86,18 @@
     EXPECT_EQ(started.bundles.peerRecord(), peer.bundles.peerRecord());
 }
 
-// A peer hands over a bundle that nobody signed. A node that took its word for it would go by a
-// configuration that no operator ever published.
-TEST(BundleSnapshot, APeersWordCountsNoMoreThanTheSignatures)
+// Guards against accepting a bundle from a peer without valid signatures: the node would run with a
+// configuration that no operator published.
+TEST(BundleSnapshot, PeerBundleWithoutValidSignaturesIsRefused)
 {
     Node started;
     started.bundles.takePeerRecord(record(5, "", signer(2)));
     started.bundles.takePeerRecord(record(5, "", signer(1)));
-    EXPECT_EQ(started.version(), 0U) << "unsigned, and signed but never accepted by anyone";
+    EXPECT_EQ(started.version(), 0U)
+            << "untrusted signer, and trusted signature without an acceptance history";
 }
 
-TEST(BundleSnapshot, AnOlderBundleOfAPeerChangesNothing)
+TEST(BundleSnapshot, OlderBundleFromPeerIsIgnored)
 {
     Node peer;
     const std::string first = record(1, "", signer(1));
@@ -111,8 +112,9 @@
     EXPECT_EQ(peer.version(), 2U);
 }
 
-// The peer accepts a new bundle between two pieces. Half of each would be no bundle at all.
-TEST(BundleSnapshot, PiecesOfTwoBundlesAreNotPutTogether)
+// Guards against combining pieces of two bundles when the peer accepts a new bundle during a
+// transfer: the result would be a corrupt record.
+TEST(BundleSnapshot, PiecesOfTwoBundlesAreNotCombined)
 {
     Node peer;
     const std::string first = record(1, "", signer(1), 2 * BundleSnapshot::PieceBytes);
