--- a/include/vanilladyke/control/cache_controller.hpp
+++ b/include/vanilladyke/control/cache_controller.hpp
@@ -7,7 +7,7 @@
 
 namespace vanilladyke {
 
-/// @brief Writes the cache view: from engines' cache events, and from what this node sent.
+/// @brief Updates the cache view from the engines' cache events and from prompts this node sent.
 class CacheController
 {
 public:
@@ -16,16 +16,17 @@
     {}
 
     void handle(const Event &event, TimePoint now);
-    /// @brief Takes over what a peer knows; what this node learned itself later stays.
+    /// @brief Adds an entry of a peer's view. It has no effect if its incarnation is older than the
+    /// one recorded here, or if the view holds a newer entry.
     void takeOver(const CacheEntry &entry, TimePoint now);
-    void contribute(Fleet &, TimePoint) const {} // the view is read where it is
+    void contribute(Fleet &, TimePoint) const {} // traffic threads read the view directly
 
 private:
-    /// How far an engine's event feed was read.
+    /// Read position in an engine's event feed.
     struct Feed
     {
         Incarnation incarnation{};
-        std::uint64_t next = 1; ///< number of the event to come
+        std::uint64_t next = 1; ///< sequence number of the next expected event
     };
 
     void take(const CacheEventsRead &page, TimePoint now);
--- a/include/vanilladyke/control/claim_codec.hpp
+++ b/include/vanilladyke/control/claim_codec.hpp
@@ -6,17 +6,18 @@
 #include <string>
 #include <string_view>
 
-/// The written form of claim records: protobuf, one batch for each record of the log.
+/// Encoding of claim records: protobuf, one batch per record of the log.
 namespace vanilladyke {
 
-/// @brief The bytes of one append.
+/// @brief Encodes a batch as the data of one append.
 [[nodiscard]] std::string encodeClaims(const ClaimBatch &batch);
 
-/// @brief Reads what another node appended, or whoever else can write to the stream.
+/// @brief Decodes one record of the stream. The input is untrusted: any writer to the stream may
+/// have appended it.
 ///
-/// A batch is taken whole or not at all, by rules that every node applies alike: nodes that took
-/// different parts of it would disagree about who may send.
-/// @return what is wrong with it
+/// A batch is accepted as a whole or refused as a whole, by rules that are the same on every node:
+/// nodes that accepted different parts of it would disagree about which of them may send a call.
+/// @return the batch, or why it was refused
 [[nodiscard]] Outcome<ClaimBatch, std::string> decodeClaims(std::string_view bytes);
 
 } // namespace vanilladyke
--- a/include/vanilladyke/control/claim_controller.hpp
+++ b/include/vanilladyke/control/claim_controller.hpp
@@ -8,14 +8,16 @@
 
 namespace vanilladyke {
 
-/// @brief Runs the claim ledger on the control thread, between traffic threads and the log.
+/// @brief Runs the claim ledger on the control thread: passes requests of traffic threads and pages
+/// of the log to it, and its verdicts and appends back.
 class ClaimController
 {
 public:
     ClaimController(ProcessId process, NodeId node, ClaimIo &io);
 
     void handle(const Event &event, TimePoint now);
-    /// @brief Reads window and live nodes; for that it stands behind bundles and membership.
+    /// @brief Configures the ledger with the claim window and the number of live nodes. Must run
+    /// after the bundle and membership controllers, which write both.
     void contribute(Fleet &fleet, TimePoint now);
 
 private:
--- a/include/vanilladyke/control/claim_desk.hpp
+++ b/include/vanilladyke/control/claim_desk.hpp
@@ -5,10 +5,11 @@
 
 #include <atomic>
 
-/// What traffic threads see of claims: they ask, wait, send, and tell what came of it.
+/// The interface of claims for traffic threads: request a permit, wait for it, send the call,
+/// record its outcome.
 namespace vanilladyke {
 
-/// @brief The right to send one call once. It is settled when it ends, if not before.
+/// @brief Permission to send one call once. The destructor settles it if nothing else did.
 class ClaimPermit
 {
 public:
@@ -17,12 +18,12 @@
     ClaimPermit &operator=(const ClaimPermit &) = delete;
     ClaimPermit(ClaimPermit &&other) noexcept;
     ClaimPermit &operator=(ClaimPermit &&) = delete;
-    /// @brief Records "unknown" if nothing else was told: the call may have been sent.
+    /// @brief Records the outcome "unknown" if none was recorded: the call may have been sent.
     ~ClaimPermit();
 
-    /// @brief The call was answered. An answer that is too large is noted, but not kept.
+    /// @brief Records the answer of the call; of a too large one only that it was too large.
     void answered(std::uint32_t status, const std::string &contentType, const std::string &body);
-    /// @brief Nothing was sent and nothing will be; the key is free again.
+    /// @brief Frees the key: the call was not sent and will not be.
     void release();
 
 private:
@@ -33,10 +34,10 @@
     ClaimNonce m_nonce;
 };
 
-/// @brief A permit, the answer of an earlier call, or a refusal.
+/// @brief A permit, the outcome of an earlier call with the key, or a refusal.
 using ClaimAnswer = std::variant<ClaimPermit, ClaimOutcome, Refusal>;
 
-/// @brief Takes claims from traffic threads to the control thread. For any thread.
+/// @brief Passes claims from traffic threads to the control thread. Thread-safe.
 class ClaimDesk
 {
 public:
@@ -44,8 +45,8 @@
         : m_inbox(inbox)
     {}
 
-    /// @brief Waits until the call may be sent, has an answer, or is refused.
-    /// @param request its ticket is chosen here
+    /// @brief Blocks until the call may be sent, has an earlier outcome, or is refused.
+    /// @param request its ticket is assigned here
     [[nodiscard]] ClaimAnswer ask(ClaimRequest request);
 
 private:
--- a/include/vanilladyke/control/claim_events.hpp
+++ b/include/vanilladyke/control/claim_events.hpp
@@ -10,13 +10,13 @@
 
 namespace vanilladyke {
 
-/// @brief Where a traffic thread waits for the control thread's verdict on its call.
+/// @brief Passes the verdict on one call from the control thread to the waiting traffic thread.
 class ClaimWait
 {
 public:
-    /// @brief Hands the verdict over. @return false if nobody waits any more
+    /// @brief Delivers the verdict. @return false if the wait has already timed out
     [[nodiscard]] bool deliver(ClaimVerdict verdict);
-    /// @brief Waits for the verdict. Once this has returned none, none is delivered any more.
+    /// @brief Waits for the verdict. After it has returned none, deliver() returns false.
     [[nodiscard]] std::optional<ClaimVerdict> wait(TimePoint until);
 
 private:
@@ -26,14 +26,14 @@
     bool m_abandoned = false;
 };
 
-/// @brief A traffic thread asks to send a call that may not be repeated.
+/// @brief A traffic thread requests a permit for a call that must not be repeated.
 struct ClaimAsked
 {
     ClaimRequest request;
     std::shared_ptr<ClaimWait> wait;
 };
 
-/// @brief A traffic thread tells what came of a call that it was allowed to send.
+/// @brief A traffic thread reports the outcome of a call, or releases its claim.
 struct ClaimSettled
 {
     ClaimRecord record;
@@ -46,13 +46,13 @@
     std::uint64_t offset = 0;
 };
 
-/// @brief A read of the log has brought a page.
+/// @brief A page of the log was read.
 struct ClaimsRead
 {
     ClaimPage page;
 };
 
-/// @brief What the claim controller hears besides bundles and ticks. None of it may be dropped.
+/// @brief Events for the claim controller; the inbox never drops them.
 using ClaimEvent = std::variant<ClaimAsked, ClaimSettled, ClaimsAppended, ClaimsRead>;
 
 } // namespace vanilladyke
--- a/include/vanilladyke/control/claim_io.hpp
+++ b/include/vanilladyke/control/claim_io.hpp
@@ -12,25 +12,26 @@
 #include <optional>
 #include <thread>
 
-/// The threads that talk to the log's stream "claims". They block; the control thread never does.
+/// Threads that make the blocking calls to the log's stream "claims" for the control thread.
 namespace vanilladyke {
 
-/// @brief What the control thread tells the threads of the log.
+/// @brief State of the ledger that the control thread publishes to the log threads.
 struct ClaimProgress
 {
-    std::uint64_t nextOffset = 0; ///< the first offset that the ledger has not seen
-    bool wantsRead = false;       ///< a claim waits for what stands in the log
-    bool idle = true;             ///< nothing is left to append, and nobody sends
+    std::uint64_t nextOffset = 0; ///< first offset that the ledger has not read
+    bool wantsRead = false;       ///< a claim waits for a page of the log
+    bool idle = true;             ///< nothing is left to append and no call is being sent
 };
 
-/// @brief Turns a page of the log into claims. A record that is malformed counts as an empty one.
+/// @brief Decodes a page of the log. A malformed record is logged and becomes an empty batch.
 [[nodiscard]] ClaimPage decodePage(const LogPage &page, TimePoint askedAt);
 
-/// @brief How an append to the log ended.
+/// @brief Converts the answer to an append into an event; logs a failure.
 [[nodiscard]] ClaimsAppended resultOf(const Outcome<LogOffset, LogFailure> &answer);
 
-/// @brief Where to begin so that a whole claim window is read, found by bisection.
-/// @return none if the log can't be read now
+/// @brief Offset to start reading at so that all records since @p notBefore are read, found by
+/// bisection over the append times.
+/// @return none if a read of the log failed
 template <LogStream Log>
 [[nodiscard]] std::optional<LogOffset> findStart(Log &log, WallTime notBefore, TimePoint deadline)
 {
@@ -52,30 +53,33 @@
     return low;
 }
 
-/// @brief The mailbox between the control thread and the threads of the log.
+/// @brief Mailbox between the control thread and the log threads. Thread-safe.
 class ClaimIo
 {
 public:
-    /// @brief Gives a batch to the appending thread. Control thread only.
+    /// @brief Passes a batch to the append thread. Control thread only.
     void append(ClaimBatch batch);
-    /// @brief Has the appending thread post a tick then: a claim that waits for the node's share of
-    /// appends would else wait for the control thread's next tick. Control thread only.
+    /// @brief Makes the append thread post a tick at that time. Without it, a claim that waits for
+    /// the node's append quota would wait for the next regular tick. Control thread only.
     void wakeAt(TimePoint when);
-    /// @brief Lets the reading thread begin; later calls change nothing.
+    /// @brief Starts the read thread, which first reads this window back; later calls have no
+    /// effect.
     void readBack(Duration window);
-    /// @brief The last page has been taken in, and the next may be read.
+    /// @brief Reports that the last page was processed, so that the next may be read.
     void pageTaken();
+    /// @brief Publishes the state of the ledger to the log threads.
     void tell(const ClaimProgress &progress);
 
-    /// @brief The next batch to append; an empty one when the control thread is to be woken, none
-    /// once the thread is to stop.
+    /// @brief Waits for the next batch to append. An empty batch means that the control thread has
+    /// to be woken; none means stop.
     [[nodiscard]] std::optional<ClaimBatch> nextBatch(const std::stop_token &stop);
     [[nodiscard]] std::optional<Duration> awaitWindow(const std::stop_token &stop);
     void awaitPageTaken(const std::stop_token &stop);
     void pause(const std::stop_token &stop, TimePoint until);
     [[nodiscard]] ClaimProgress progress() const;
 
-    /// @brief Waits until all outcomes are in the log, for a planned stop. @return whether they are
+    /// @brief Waits until all outcomes are in the log, for a planned shutdown.
+    /// @return whether they are by the deadline
     [[nodiscard]] bool flush(TimePoint deadline);
 
 private:
@@ -88,7 +92,7 @@
     ClaimProgress m_progress;
 };
 
-/// @brief Runs one appending and one reading thread until it is destroyed.
+/// @brief Runs one append thread and one read thread until it is destroyed.
 template <LogStream Log>
 class ClaimLog
 {
@@ -105,10 +109,10 @@
     }
 
 private:
-    /// An append that takes longer counts as lost; a healthy log answers within milliseconds.
+    /// A slower append counts as unresolved; a healthy log answers within milliseconds.
     static constexpr Duration AppendWithin = std::chrono::milliseconds(1000);
     static constexpr Duration ReadWithin = std::chrono::milliseconds(1000);
-    /// While a claim waits, a connection that has gone silent must be noticed soon.
+    /// Shorter while a claim waits, so that a dead connection is detected early.
     static constexpr Duration UrgentReadWithin = std::chrono::milliseconds(400);
     static constexpr Duration PauseAfterFailure = std::chrono::milliseconds(100);
 
@@ -151,7 +155,7 @@
         }
     }
 
-    /// Everything older than a window concerns keys that are refused by their age.
+    /// Records older than one window need not be read: their keys are refused because of their age.
     LogOffset readBackFrom(const std::stop_token &stop)
     {
         const auto window = m_io.awaitWindow(stop);
--- a/src/vanilladyke/control/cache_controller.cpp
+++ b/src/vanilladyke/control/cache_controller.cpp
@@ -31,8 +31,8 @@
     m_view.setIncarnation(engine, incarnation, now);
 }
 
-/// A page may be read twice, or an older one may come late; events count only once and in order.
-/// A missing number may have been an eviction: what was known before is trusted less from then on.
+/// Pages of another incarnation are ignored. A gap in the sequence numbers may hide an eviction, so
+/// all earlier entries of the engine are marked untrusted when one is found.
 void CacheController::take(const CacheEventsRead &page, TimePoint now)
 {
     const EngineKey engine = engineKeyOf(page.engine);
--- a/src/vanilladyke/control/cache_controller_test.cpp
+++ b/src/vanilladyke/control/cache_controller_test.cpp
@@ -34,7 +34,7 @@
 constexpr ChainHash A{1, 1};
 constexpr ChainHash B{2, 2};
 
-TEST_F(CacheControllerTest, FollowsTheFeedOfAnEngine)
+TEST_F(CacheControllerTest, AppliesEventsOfAnEngineFeed)
 {
     read(First, 1, 3, {{1, CacheEventKind::Stored, A}, {2, CacheEventKind::Stored, B}}, 1);
     read(First, 1, 4, {{3, CacheEventKind::Evicted, A}}, 2);
@@ -43,9 +43,9 @@
     EXPECT_TRUE(holders(B, 3)[0].longest().trusted);
 }
 
-// The engine's feed skips a number, which may have been the eviction of a prefix. A caller that is
-// sent there for it waits while it is computed anew, so what was known before is trusted less.
-TEST_F(CacheControllerTest, AMissingNumberMakesWhatWasKnownDoubtful)
+// Guards against trusting entries after a gap in an engine's feed: the missing event may have been
+// an eviction, and a request routed there for the prefix would wait for a new prefill.
+TEST_F(CacheControllerTest, GapInSequenceMarksEarlierEntriesUntrusted)
 {
     read(First, 1, 2, {{1, CacheEventKind::Stored, A}}, 1);
     read(First, 1, 4, {{3, CacheEventKind::Stored, B}}, 2);
@@ -53,16 +53,16 @@
     EXPECT_TRUE(holders(B, 3).at(0).longest().trusted);
 }
 
-TEST_F(CacheControllerTest, EventsThatTheEngineNoLongerKeepsAreAGapToo)
+TEST_F(CacheControllerTest, EventsDroppedByTheEngineCountAsGap)
 {
     read(First, 1, 2, {{1, CacheEventKind::Stored, A}}, 1);
     read(First, 9, 9, {}, 2);
     EXPECT_FALSE(holders(A, 3).at(0).longest().trusted);
 }
 
-// An engine crashes, comes back empty, and a page of its former life arrives after the first report
-// of the new one. Callers must not be sent to it for what only its former life had.
-TEST_F(CacheControllerTest, ALatePageOfAFormerLifeCountsForNothing)
+// Guards against stale entries after an engine restart: a page of the former incarnation may arrive
+// after the first report of the new one, whose cache is empty.
+TEST_F(CacheControllerTest, LatePageOfAFormerIncarnationIsIgnored)
 {
     read(First, 1, 2, {{1, CacheEventKind::Stored, A}}, 1);
     EngineReported report;
@@ -74,7 +74,7 @@
     EXPECT_TRUE(holders(B, 3).empty());
 }
 
-TEST_F(CacheControllerTest, WhatThisNodeSentIsExpectedToBeCached)
+TEST_F(CacheControllerTest, SentPrefixIsExpectedToBeCached)
 {
     read(First, 1, 1, {}, 1);
     const auto chain = std::make_shared<const PrefixChain>(PrefixChain{{A, 512, true}});
--- a/src/vanilladyke/control/claim_codec.cpp
+++ b/src/vanilladyke/control/claim_codec.cpp
@@ -24,7 +24,7 @@
     return wire::OUTCOME_UNKNOWN;
 }
 
-/// A kind that a later version may add is one whose answer this version can't give.
+/// Kinds added by later versions are read as Unknown: this version can't reproduce their answer.
 OutcomeKind kindOf(wire::OutcomeKind kind)
 {
     switch (kind) {
@@ -75,7 +75,8 @@
 {
     ClaimKey key;
     if (!read(in.key(), &key)) {
-        return failure(std::string("a record's key is malformed"));
+        return failure(
+                std::string("malformed key in a record: not 16 bytes or not a UUID of version 7"));
     }
     const ClaimNonce nonce{ProcessId(in.nonce().process()), in.nonce().sequence()};
     if (in.has_claim()) {
@@ -85,7 +86,7 @@
         return ClaimRelease{key, nonce};
     }
     if (!in.has_outcome()) {
-        return failure(std::string("a record is of no known kind"));
+        return failure(std::string("a record holds no claim, release or outcome"));
     }
     const wire::Outcome &outcome = in.outcome();
     return ClaimOutcome{
@@ -115,14 +116,14 @@
 Outcome<ClaimBatch, std::string> decodeClaims(std::string_view bytes)
 {
     if (bytes.size() > MostBatchBytes) {
-        return failure(std::string("the batch is too large"));
+        return failure(std::string("batch exceeds the size limit"));
     }
     wire::ClaimBatch in;
     if (!in.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
-        return failure(std::string("no protobuf of a batch"));
+        return failure(std::string("not a valid protobuf ClaimBatch"));
     }
     if (static_cast<std::size_t>(in.records_size()) > MostRecords) {
-        return failure(std::string("the batch has too many records"));
+        return failure(std::string("batch exceeds the limit on records"));
     }
     ClaimBatch batch;
     for (const wire::ClaimRecord &each : in.records()) {
@@ -131,7 +132,8 @@
             return failure(std::move(record.error()));
         }
         if (!isWellFormed(*record)) {
-            return failure(std::string("a name, nonce or answer is empty or too large"));
+            return failure(
+                    std::string("a name, nonce or answer in a record is empty or too large"));
         }
         batch.push_back(std::move(*record));
     }
--- a/src/vanilladyke/control/claim_codec_test.cpp
+++ b/src/vanilladyke/control/claim_codec_test.cpp
@@ -46,7 +46,7 @@
     return batch;
 }
 
-RC_GTEST_PROP(ClaimCodec, WhatIsWrittenIsReadBack, ())
+RC_GTEST_PROP(ClaimCodec, EncodedBatchDecodesToItself, ())
 {
     const ClaimBatch batch = anyBatch();
     const auto back = decodeClaims(encodeClaims(batch));
@@ -54,15 +54,15 @@
     RC_ASSERT(*back == batch);
 }
 
-// Something else writes to the stream, or a record gets damaged. A node that crashed on it would
-// crash again at every start, since the record stays in the log.
-RC_GTEST_PROP(ClaimCodec, AnyBytesAreReadOrRefused, (const std::string &bytes))
+// Guards against a crash on a corrupt record or on one from another writer: the record stays in the
+// log, so the node would crash again at every start.
+RC_GTEST_PROP(ClaimCodec, ArbitraryBytesAreDecodedOrRefused, (const std::string &bytes))
 {
     const auto batch = decodeClaims(bytes);
     RC_ASSERT(batch.has_value() || !batch.error().empty());
 }
 
-RC_GTEST_PROP(ClaimCodec, ADamagedBatchIsReadOrRefused, ())
+RC_GTEST_PROP(ClaimCodec, CorruptBatchIsDecodedOrRefused, ())
 {
     std::string bytes = encodeClaims(anyBatch());
     const int changes = *rc::gen::inRange(1, 5);
@@ -75,9 +75,9 @@
     }
 }
 
-// A service answers with a content type of any bytes. If readers refused the outcome, they would
-// refuse the claims of other calls in the same append with it, and send those a second time.
-TEST(ClaimCodec, BytesThatAreNoTextDoNotSpoilTheBatch)
+// Guards against refusing a whole batch for one answer whose content type is not valid text: the
+// claims of other calls in the same append would be lost, and those calls sent twice.
+TEST(ClaimCodec, InvalidTextDoesNotInvalidateTheBatch)
 {
     Random random(1);
     const ClaimKey key{CustomerId("\xD5"), ServiceId("s"), newUuidV7(WallTime(), random)};
--- a/src/vanilladyke/control/claim_desk.cpp
+++ b/src/vanilladyke/control/claim_desk.cpp
@@ -4,7 +4,8 @@
 
 namespace {
 
-/// The ledger refuses at the deadline; beyond this the control thread itself must be stuck.
+/// Extra wait beyond the deadline, at which the ledger refuses; if it passes, the control thread
+/// itself is blocked.
 constexpr Duration VerdictGrace = std::chrono::seconds(1);
 
 } // namespace
@@ -53,7 +54,7 @@
     m_inbox.post(ClaimEvent(ClaimAsked{request, wait}));
     std::optional<ClaimVerdict> verdict = wait->wait(request.deadline + VerdictGrace);
     if (!verdict) {
-        // Whatever verdict comes now finds nobody, and the controller gives the claim up.
+        // A verdict that comes later can't be delivered, and the controller releases the claim.
         return Refusal{RefusalReason::LogUnavailable,
                        "the claim was not decided in time",
                        ranOfUnsent(request),
