--- a/include/vanilladyke/control/control_thread.hpp
+++ b/include/vanilladyke/control/control_thread.hpp
@@ -8,11 +8,11 @@
 #include <thread>
 #include <tuple>
 
-/// The one thread that changes shared state. It hands each event to every controller, then lets
-/// every controller write its part of the next fleet, and publishes that.
+/// The only thread that changes shared state. It passes each event to every controller, lets every
+/// controller write its part of the next Fleet, and publishes that Fleet.
 namespace vanilladyke {
 
-/// @brief A part of the control state. Both members run on the control thread only.
+/// @brief Owner of one part of the control state. Both functions run on the control thread only.
 template <typename T>
 concept Controller = requires(T &controller, const Event &event, Fleet &fleet, TimePoint now)
 {
@@ -47,7 +47,8 @@
         }
     }
 
-    /// One fleet for a batch of events: under a flood of reports the copy is made once a batch.
+    /// Handles queued events as one batch, so that under many reports the Fleet is built once a
+    /// batch.
     void drain()
     {
         for (int i = 0; i < MostEventsAtOnce; ++i) {
--- a/include/vanilladyke/control/dump_state.hpp
+++ b/include/vanilladyke/control/dump_state.hpp
@@ -7,8 +7,8 @@
 
 namespace vanilladyke {
 
-/// @brief The state dump of a running node, with MostDumpedEntries of its cache view at most. Any
-/// thread.
+/// @brief Dumps the state of a running node, with at most MostDumpedEntries entries of its cache
+/// view. Thread-safe.
 [[nodiscard]] std::string dumpState(const FleetStore &store, const SharedCacheView &view);
 
 } // namespace vanilladyke
--- a/include/vanilladyke/control/engine_controller.hpp
+++ b/include/vanilladyke/control/engine_controller.hpp
@@ -8,18 +8,18 @@
 
 namespace vanilladyke {
 
-/// @brief What is known of every engine of the bundle: health, incarnation, models held, load.
+/// @brief Tracks every engine of the bundle: health, incarnation, models held, load.
 class EngineController
 {
 public:
     void handle(const Event &event, TimePoint now);
     void contribute(Fleet &fleet, TimePoint now);
 
-    /// @brief What each engine of the bundle holds, in the bundle's order, as last contributed.
+    /// @brief Models held by each engine, in the bundle's order, as of the last contribute().
     [[nodiscard]] const std::vector<EngineHolding> &holdings() const { return m_holdings; }
-    /// @brief The bundle as accepted; only after a contribution to a fleet with a bundle.
+    /// @brief The bundle as accepted. Valid only after contribute() with a fleet that has a bundle.
     [[nodiscard]] const Bundle &wanted() const { return *m_wanted; }
-    /// @brief Engines that may change what they hold, as last contributed.
+    /// @brief Engines that may change the models they hold, as of the last contribute().
     [[nodiscard]] const std::vector<EngineId> &changing() const { return m_changing; }
 
 private:
@@ -29,7 +29,7 @@
         std::shared_ptr<const SlotAges> ages;
         TimePoint heardAt;
         bool reachable = false;
-        bool leaving = false; ///< until its next incarnation
+        bool leaving = false; ///< reset by its next incarnation
     };
 
     void takeReport(const EngineReported &report, TimePoint now);
@@ -39,13 +39,13 @@
     inService(const std::shared_ptr<const Bundle> &bundle);
 
     std::map<EngineId, Known> m_known;
-    bool m_allHeardOf = false;                 ///< once true it stays so
-    std::shared_ptr<const FleetIndex> m_index; ///< kept while the serving engines stay the same
+    bool m_allHeardOf = false;                 ///< never reset
+    std::shared_ptr<const FleetIndex> m_index; ///< reused while the serving engines do not change
     std::vector<EngineHolding> m_holdings;
     std::vector<EngineId> m_changing;
     WeightsInService m_weights;
     std::shared_ptr<const Bundle> m_wanted;  ///< as accepted
-    std::shared_ptr<const Bundle> m_serving; ///< the same with the weights in service
+    std::shared_ptr<const Bundle> m_serving; ///< m_wanted with the weights in service
 };
 
 } // namespace vanilladyke
--- a/include/vanilladyke/control/engine_poller.hpp
+++ b/include/vanilladyke/control/engine_poller.hpp
@@ -11,9 +11,9 @@
 
 namespace vanilladyke {
 
-/// @brief Asks every engine of the bundle for its state, and posts what it hears.
+/// @brief Polls every engine of the bundle for its state and cache events, and posts the answers.
 ///
-/// Each engine has a thread of its own, so that one that hangs holds up no other.
+/// Each engine is polled on its own thread, so that one that hangs does not delay the others.
 class EnginePoller
 {
 public:
--- a/include/vanilladyke/control/events.hpp
+++ b/include/vanilladyke/control/events.hpp
@@ -15,49 +15,49 @@
 #include <variant>
 #include <vector>
 
-/// What the control thread hears. Other threads only post these; they never change shared state.
+/// Events of the control thread. Other threads post them and never change shared state themselves.
 namespace vanilladyke {
 
-/// @brief Nothing happened; controllers look at their deadlines.
+/// @brief Makes controllers check their deadlines.
 struct Tick
 {};
 
-/// @brief A page of the log's stream of bundles was read.
+/// @brief A page of the log's bundle stream was read.
 struct BundleLogRead
 {
     std::shared_ptr<const LogPage> page;
 };
 
-/// @brief The log's stream of bundles can't be read.
+/// @brief A read of the log's bundle stream failed.
 struct BundleLogDown
 {
     std::string reason;
 };
 
-/// @brief An engine told its state.
+/// @brief An engine reported its state.
 struct EngineReported
 {
     EngineId engine;
     Incarnation incarnation{};
     std::vector<HeldModel> held;
     LoadReport load;
-    std::vector<HeldModel> loading = {}; ///< what it is about to hold
+    std::vector<HeldModel> loading = {}; ///< models being loaded
 };
 
-/// @brief An engine could not be reached at all.
+/// @brief A poll of an engine failed or its answer was invalid.
 struct EngineUnreachable
 {
     EngineId engine;
     std::string reason;
 };
 
-/// @brief What an engine's cache did with a prefix.
+/// @brief Whether an engine's cache stored or evicted a prefix.
 enum class CacheEventKind { Stored, Evicted };
 
 /// @brief One event of an engine's cache feed.
 struct CacheEvent
 {
-    std::uint64_t sequence = 0; ///< from 1, without gaps as long as none is lost
+    std::uint64_t sequence = 0; ///< starts at 1; a gap means that events were lost
     CacheEventKind kind = CacheEventKind::Stored;
     ChainHash hash;
 };
@@ -67,12 +67,12 @@
 {
     EngineId engine;
     Incarnation incarnation{};
-    std::uint64_t first = 0; ///< the oldest event that the engine still has
-    std::uint64_t next = 0;  ///< the event after this page
+    std::uint64_t first = 0; ///< sequence number of the oldest event that the engine still has
+    std::uint64_t next = 0;  ///< sequence number after the last event of this page
     std::vector<CacheEvent> events;
 };
 
-/// @brief This node sent a prompt to an engine, which will have it in its cache.
+/// @brief This node sent a prompt to an engine, whose cache is expected to store it.
 struct PrefixSent
 {
     EngineKey engine{};
@@ -80,24 +80,24 @@
     std::shared_ptr<const PrefixChain> chain;
 };
 
-/// @brief This node was told to stop.
+/// @brief A shutdown of this node was requested.
 struct StopRequested
 {};
 
-/// @brief An engine is about to stop, by the host list's or a peer's word; no new work for it.
+/// @brief The host list or a peer reports that an engine is about to stop; it gets no new work.
 struct EngineLeaving
 {
     EngineId engine;
 };
 
-/// @brief A peer sent a message.
+/// @brief A message was received from a peer.
 struct PeerHeard
 {
     PeerMessage message;
     ReplyRoute route;
 };
 
-/// @brief What this node's admission sees of the load, to be told to the peers.
+/// @brief Load measured by this node's admission, to be sent to the peers.
 struct LoadObserved
 {
     NodeLoad load;
@@ -107,7 +107,7 @@
                            EngineLeaving, StopRequested, PeerHeard, CacheEventsRead, PrefixSent,
                            LoadObserved, ClaimEvent>;
 
-/// @brief Whether the event may be dropped when the inbox is full: a later one makes up for it.
+/// @brief Whether the event may be dropped when the inbox is full, since a later one replaces it.
 [[nodiscard]] bool isSoft(const Event &event);
 
 } // namespace vanilladyke
--- a/include/vanilladyke/control/fleet_store.hpp
+++ b/include/vanilladyke/control/fleet_store.hpp
@@ -7,11 +7,12 @@
 
 namespace vanilladyke {
 
-/// @brief The one place where the control thread publishes the fleet and traffic threads read it.
+/// @brief Holds the current Fleet: written by the control thread, read by traffic threads.
+/// Thread-safe.
 class FleetStore
 {
 public:
-    /// @brief The fleet as last published; never null.
+    /// @brief The last published fleet; never null.
     [[nodiscard]] std::shared_ptr<const Fleet> current() const { return m_fleet.load(); }
     void publish(std::shared_ptr<const Fleet> fleet) { m_fleet.store(std::move(fleet)); }
 
--- a/include/vanilladyke/control/host_list_poller.hpp
+++ b/include/vanilladyke/control/host_list_poller.hpp
@@ -8,12 +8,12 @@
 
 namespace vanilladyke {
 
-/// @brief Engines of the fleet that the list shows as leaving and that may still get work.
+/// @brief Engines of the fleet that are marked as leaving in the list and may still get work.
 [[nodiscard]] std::vector<EngineId> newlyLeaving(const std::vector<ListedHost> &hosts,
                                                  const Fleet &fleet);
 
-/// @brief Reads the host list over and over, on a thread of its own, and posts which engines are
-/// leaving. While the list is down nothing changes.
+/// @brief Polls the host list on its own thread, and posts an EngineLeaving for each engine that
+/// newly leaves. While the list is unavailable it posts nothing.
 class HostListPoller
 {
 public:
--- a/include/vanilladyke/control/inbox.hpp
+++ b/include/vanilladyke/control/inbox.hpp
@@ -11,10 +11,10 @@
 
 namespace vanilladyke {
 
-/// @brief The bounded queue into the control thread.
+/// @brief Bounded event queue of the control thread. Thread-safe.
 ///
-/// When it is full the oldest soft event gives way, and is counted: a flood of load reports must
-/// not hold back a bundle or a claim, which are never dropped.
+/// When it is full, the oldest droppable event (isSoft()) is dropped and counted, so that many load
+/// reports can't displace bundles or claims, which are never dropped.
 class Inbox
 {
 public:
@@ -22,11 +22,11 @@
         : m_capacity(capacity)
     {}
 
-    /// @brief Adds an event; any thread.
+    /// @brief Adds an event without blocking.
     void post(Event event);
-    /// @brief The next event, or none once the deadline has passed.
+    /// @brief Waits for the next event. @return none if there is none by the deadline
     [[nodiscard]] std::optional<Event> take(TimePoint deadline);
-    /// @brief How many soft events gave way so far.
+    /// @brief Number of events dropped so far.
     [[nodiscard]] std::uint64_t dropped() const;
 
 private:
--- a/include/vanilladyke/control/membership_controller.hpp
+++ b/include/vanilladyke/control/membership_controller.hpp
@@ -9,15 +9,15 @@
 
 namespace vanilladyke {
 
-/// @brief Runs Membership on the control thread: feeds it peers' messages and the time, sends what
-/// it wants sent, and writes the nodes into the fleet.
+/// @brief Runs Membership on the control thread: passes it peers' messages and ticks, sends its
+/// outgoing messages, and writes the members into the fleet.
 class MembershipController
 {
 public:
-    /// @brief Hands a message to the transport.
+    /// @brief Passes a message to the transport.
     using Sender = std::function<void(Outgoing)>;
 
-    /// @param inbox gets an EngineLeaving for each engine that peers say is leaving
+    /// @param inbox receives an EngineLeaving for each engine that peers report as leaving
     MembershipController(Membership membership, Sender sender, Inbox &inbox, Random random);
 
     void handle(const Event &event, TimePoint now);
--- a/include/vanilladyke/control/node_state.hpp
+++ b/include/vanilladyke/control/node_state.hpp
@@ -6,7 +6,7 @@
 
 namespace vanilladyke {
 
-/// @brief What traffic sees of the control state, and where it posts what it observes.
+/// @brief Read access of traffic threads to the control state, and the inbox they post events to.
 struct NodeState
 {
     const FleetStore &fleet;
--- a/include/vanilladyke/control/order_controller.hpp
+++ b/include/vanilladyke/control/order_controller.hpp
@@ -10,7 +10,7 @@
 
 namespace vanilladyke {
 
-/// @brief Sends orders to engines, on a thread of its own.
+/// @brief Sends orders to engines on its own thread.
 class OrderSender
 {
 public:
@@ -19,7 +19,7 @@
     OrderSender &operator=(const OrderSender &) = delete;
     ~OrderSender() = default;
 
-    /// @brief Takes an order and returns at once.
+    /// @brief Queues an order without blocking. Thread-safe.
     void send(EngineOrder order);
 
 private:
@@ -32,8 +32,8 @@
     std::jthread m_thread;
 };
 
-/// @brief Orders the engines that fall to this node to hold what the bundle wants. It comes after
-/// the controllers of members and engines, and reads what they found.
+/// @brief Orders the engines assigned to this node to hold the models that the bundle requires.
+/// Must run after the membership and engine controllers, whose results it reads.
 class OrderController
 {
 public:
@@ -48,7 +48,7 @@
     OrderPlan m_plan;
 };
 
-/// @brief The body of an order as engines read it.
+/// @brief The JSON body of an order.
 [[nodiscard]] std::string writeOrder(const EngineOrder &order);
 
 } // namespace vanilladyke
--- a/include/vanilladyke/control/shared_cache_view.hpp
+++ b/include/vanilladyke/control/shared_cache_view.hpp
@@ -7,14 +7,14 @@
 
 namespace vanilladyke {
 
-/// @brief The node's cache view: the control thread writes, traffic threads look up.
+/// @brief The node's cache view: written by the control thread, read by traffic threads.
 ///
-/// It is too large to publish a copy with each change. It is divided into shards by hash instead,
-/// so that a look-up waits for no more than one small write.
+/// It is too large to publish a copy for each change. Instead it is sharded by hash, with a lock
+/// per shard, so that a look-up waits for at most one small write.
 class SharedCacheView
 {
 public:
-    /// @param bytes memory of all shards together
+    /// @param bytes memory limit of all shards together
     explicit SharedCacheView(std::size_t bytes);
 
     void setIncarnation(EngineKey engine, Incarnation incarnation, TimePoint now);
@@ -22,11 +22,11 @@
     void stored(EngineKey engine, Incarnation incarnation, const ChainHash &hash, TimePoint now);
     void evicted(EngineKey engine, Incarnation incarnation, const ChainHash &hash);
 
-    /// @brief As CacheView::holders. Any thread.
+    /// @brief As CacheView::holders. Thread-safe.
     [[nodiscard]] std::vector<PrefixHolder> holders(const PrefixChain &chain, TimePoint now) const;
 
-    /// @brief As CacheView::entries, over all shards; @p from is 0 or what the last piece named
-    /// next.
+    /// @brief As CacheView::entries, over all shards; @p from is 0 or the next position that the
+    /// previous page returned.
     [[nodiscard]] CachePiece entries(std::size_t from, std::size_t most, TimePoint now) const;
 
 private:
--- a/include/vanilladyke/control/snapshot_controller.hpp
+++ b/include/vanilladyke/control/snapshot_controller.hpp
@@ -7,30 +7,30 @@
 #include <functional>
 #include <optional>
 
-/// Snapshots: how a starting node takes over what its peers know, and how a bundle gets around
-/// while the platform's log is down.
+/// Snapshots: transfer of state from a peer to a starting node, and of a newer bundle while the log
+/// is down.
 namespace vanilladyke {
 
-/// @brief How one section of the state is written into pieces and read from them.
+/// @brief Reads and writes one section of the state in pieces.
 struct SnapshotStore
 {
-    /// Writes the piece at a cursor; its size is bounded by the section's owner.
+    /// Writes the piece at a cursor; the section bounds its size.
     std::function<SnapshotPiece(std::uint64_t cursor)> write;
-    /// Takes in one piece; what the node knows better already stays.
+    /// Merges one piece into the state; newer state of this node is kept.
     std::function<void(const SnapshotPiece &piece)> read;
 };
 
-/// @brief Answers peers' requests for pieces, and asks for them itself: for all sections once after
-/// its start, and for the bundle whenever a peer has a newer one.
+/// @brief Answers peers' requests for pieces, and requests pieces itself: all sections once after
+/// the start, and the bundle whenever a peer has a newer one.
 ///
-/// Without it a restarted node would send its first requests past warm caches, and while the log is
-/// down it would have no bundle and could serve nobody.
+/// Without it a restarted node would miss warm prefix caches with its first requests, and while the
+/// log is down it would have no bundle and could not serve requests.
 class SnapshotController
 {
 public:
     static constexpr std::size_t SectionCount = 2;
-    /// @brief A store for each section, in SnapshotSection's order; one without functions is left
-    /// out.
+    /// @brief A store for each section, in the order of SnapshotSection; one without functions is
+    /// skipped.
     using Stores = std::array<SnapshotStore, SectionCount>;
 
     SnapshotController(Stores stores, MembershipController::Sender sender);
@@ -38,11 +38,11 @@
     void handle(const Event &event, TimePoint now);
     void contribute(const Fleet &fleet, TimePoint now);
 
-    /// @brief Whether all sections were taken over once, or nobody was there to give them.
+    /// @brief Whether all sections were fetched once, or no peer was found to fetch them from.
     [[nodiscard]] bool warm() const { return m_next == SectionCount && !m_fetch; }
 
 private:
-    /// A section that is being fetched from one peer.
+    /// Transfer of one section from one peer.
     struct Fetch
     {
         SnapshotSection section;
@@ -63,10 +63,10 @@
 
     Stores m_stores;
     MembershipController::Sender m_sender;
-    std::vector<Member> m_members; ///< as of the last fleet, this node first
-    std::vector<NodeId> m_failed;  ///< peers that left a request unanswered
+    std::vector<Member> m_members; ///< from the last fleet, this node first
+    std::vector<NodeId> m_failed;  ///< peers that did not answer a request in time
     std::optional<Fetch> m_fetch;
-    std::size_t m_next = 0; ///< the first section not yet taken over
+    std::size_t m_next = 0; ///< first section not yet fetched
     TimePoint m_startedAt = TimePoint::min();
     TimePoint m_nextBundleCheck = TimePoint::min();
 };
--- a/include/vanilladyke/control/snapshot_stores.hpp
+++ b/include/vanilladyke/control/snapshot_stores.hpp
@@ -6,10 +6,10 @@
 
 namespace vanilladyke {
 
-/// @brief Entries in one piece of the cache view: some 45 KB.
+/// @brief Number of cache view entries in one piece, some 45 KB.
 inline constexpr std::size_t CacheEntriesPerPiece = 1000;
 
-/// @brief The cache view as a section of a snapshot. Both references must outlive the result.
+/// @brief The cache view as a snapshot section. Both arguments must outlive the result.
 [[nodiscard]] SnapshotStore cacheViewStore(const SharedCacheView &view,
                                            CacheController &controller);
 
--- a/src/vanilladyke/control/engine_controller.cpp
+++ b/src/vanilladyke/control/engine_controller.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// An engine that has said nothing for so long counts as dead: reports come every 100 ms, so that
-/// this is many in a row, and a crash is noticed before most first-token deadlines.
+/// An engine without a report for this long counts as dead. Reports come every 100 ms, so that many
+/// in a row must be missing, and a crash is detected before most first-token deadlines.
 constexpr Duration SilenceOfTheDead = std::chrono::milliseconds(1500);
 
 bool holdsInService(const EngineHolding &holding, const WeightsInService &weights,
@@ -66,7 +66,8 @@
                 .field("engine", report.engine.str())
                 .field("incarnation", static_cast<std::uint64_t>(report.incarnation));
     }
-    // News that an engine is leaving may come before its first report, and holds for this life.
+    // The update that an engine is leaving may arrive before its first report; it applies to the
+    // incarnation of that report.
     const bool firstHeard = known.heardAt == TimePoint();
     known.leaving = known.leaving && (firstHeard || !reborn);
     known.ages = agesAfter(reborn ? nullptr : known.ages, report.load);
@@ -96,8 +97,9 @@
     for (std::size_t i = 0; i < bundle.engines.size(); ++i) {
         fleet.engines.push_back(viewOf(bundle.engines[i], m_holdings[i]));
     }
-    // A node that called itself ready before it knew its engines refused its first callers. A later
-    // bundle that adds engines is no cause to send the balancer away again.
+    // A node that is ready before every engine was polled once would refuse its first requests. The
+    // flag stays set when a later bundle adds engines: the load balancer must not withdraw the node
+    // because of them.
     m_allHeardOf =
             m_allHeardOf
             || std::all_of(bundle.engines.begin(), bundle.engines.end(),
@@ -108,7 +110,8 @@
     fleet.bundle = inService(fleet.bundle);
 }
 
-/// Traffic is placed, hashed and checked against the weights that engines serve now.
+/// The bundle with the weights that engines serve now; placement, hashing and validation of
+/// requests use these instead of the weights in the accepted bundle.
 std::shared_ptr<const Bundle>
 EngineController::inService(const std::shared_ptr<const Bundle> &bundle)
 {
--- a/src/vanilladyke/control/engine_controller_test.cpp
+++ b/src/vanilladyke/control/engine_controller_test.cpp
@@ -42,9 +42,9 @@
     return fleet;
 }
 
-// The host list says that an engine is leaving, and the engine goes on to report its load. If a
-// report made it ready again, it would get work until the host is stopped, which cuts it.
-TEST(EngineController, AReportDoesNotUndoTheNewsThatAnEngineIsLeaving)
+// Guards against a load report making a leaving engine ready again: it would get requests that are
+// cut off when its host stops.
+TEST(EngineController, LoadReportDoesNotResetLeaving)
 {
     const auto bundle = bundleOf("w1");
     EngineController controller;
@@ -57,10 +57,10 @@
     EXPECT_EQ(contribution(controller, bundle).engines[0].state, EngineState::Ready);
 }
 
-// A node restarts and has its bundle at once, but has not asked its engines yet. Were it ready, the
-// balancer would send callers whom it could only refuse. One engine that does not answer, or one
-// that a later bundle adds, must not keep it or take it away.
-TEST(EngineController, EnginesAreKnownOnceEachAnsweredOrFailedTo)
+// Guards against a restarted node that is ready before it polled its engines: it would refuse the
+// requests that the load balancer sends. An engine that does not answer must not delay readiness,
+// and one that a later bundle adds must not revoke it.
+TEST(EngineController, EnginesAreKnownOnceEachWasPolled)
 {
     EngineController controller;
     EXPECT_FALSE(contribution(controller, bundleOf("w1")).enginesKnown);
@@ -74,9 +74,9 @@
     EXPECT_TRUE(contribution(controller, grown).enginesKnown);
 }
 
-// New weights are in force, and no engine holds them yet. Traffic that was already bound to them
-// would find no engine for a whole loading time.
-TEST(EngineController, TrafficGoesByTheWeightsThatEnginesServe)
+// Guards against routing by new weights before any engine holds them: no engine would match until
+// loading ends.
+TEST(EngineController, TrafficUsesTheWeightsThatEnginesServe)
 {
     EngineController controller;
     controller.handle(report("e1", "w1"), start);
@@ -96,7 +96,7 @@
             1);
 }
 
-TEST(HostListPoller, TellsOnlyOfEnginesThatMayStillGetWork)
+TEST(HostListPoller, ReportsOnlyEnginesThatMayStillGetWork)
 {
     const auto bundle = bundleOf("w1");
     EngineController controller;
--- a/src/vanilladyke/control/engine_poller.cpp
+++ b/src/vanilladyke/control/engine_poller.cpp
@@ -9,8 +9,7 @@
 
 namespace {
 
-/// Load reports older than this mislead placement more than asking costs: 10 small answers a
-/// second.
+/// Placement by older load reports costs more than the 10 small requests a second for each engine.
 constexpr Duration PollEvery = std::chrono::milliseconds(100);
 constexpr Duration AnswerWithin = std::chrono::milliseconds(700);
 
@@ -63,14 +62,14 @@
     return page;
 }
 
-/// Where the poller is in an engine's cache feed.
+/// Read position in an engine's cache feed.
 struct FeedPosition
 {
     Incarnation incarnation{};
     std::uint64_t after = 0;
 };
 
-/// Reads on in the cache feed. An answer that can't be read is as none: the next one shows the gap.
+/// Reads the next page of the cache feed. A malformed answer is skipped: the gap shows in the next.
 std::optional<CacheEventsRead> readCacheEvents(httplib::Client &client, const EngineId &engine,
                                                FeedPosition &position)
 {
--- a/src/vanilladyke/control/host_list_poller.cpp
+++ b/src/vanilladyke/control/host_list_poller.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// New work for a leaving backend server must stop within two seconds of the list's news.
+/// A leaving backend server must get no new work later than two seconds after the list shows it.
 constexpr Duration PollEvery = std::chrono::milliseconds(500);
 constexpr Duration AnswerWithin = std::chrono::milliseconds(700);
 
--- a/src/vanilladyke/control/inbox_test.cpp
+++ b/src/vanilladyke/control/inbox_test.cpp
@@ -5,9 +5,9 @@
 namespace vanilladyke {
 namespace {
 
-// Engines report faster than the control thread takes the reports in, and the queue fills. A user
-// would notice if a new bundle got lost in the flood; so only reports give way.
-TEST(Inbox, DropsTheOldestSoftEventAndNeverABundle)
+// Guards against losing a bundle when engines report faster than the control thread handles reports
+// and the queue is full: only reports may be dropped.
+TEST(Inbox, DropsTheOldestDroppableEventAndNeverABundle)
 {
     Inbox inbox(2);
     inbox.post(BundleLogRead{});
--- a/src/vanilladyke/control/membership_controller.cpp
+++ b/src/vanilladyke/control/membership_controller.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// A fraction of Membership's own periods; a tick with nothing due costs next to nothing.
+/// A fraction of Membership's own periods; a tick with nothing due is cheap.
 constexpr Duration TickEvery = std::chrono::milliseconds(100);
 
 std::string_view nameOf(Phase phase)
--- a/src/vanilladyke/control/shared_cache_view.cpp
+++ b/src/vanilladyke/control/shared_cache_view.cpp
@@ -56,7 +56,7 @@
 
 CachePiece SharedCacheView::entries(std::size_t from, std::size_t most, TimePoint now) const
 {
-    // A place is a shard and a place inside it, so that one number can stand for both.
+    // A position encodes the shard and the position inside the shard in one number.
     std::size_t shardIndex = from % Shards;
     std::size_t place = from / Shards;
     while (shardIndex < Shards) {
--- a/src/vanilladyke/control/snapshot_controller.cpp
+++ b/src/vanilladyke/control/snapshot_controller.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-/// A piece is at most some 100 KB; over a link between regions that takes well under this.
+/// A piece is at most some 100 KB; its transfer between regions takes well under this.
 constexpr Duration AnswerWithin = std::chrono::milliseconds(800);
-/// How long a starting node looks for a ready peer before it takes itself for the first one.
+/// After this time without a ready peer a starting node assumes that it is the first of the fleet.
 constexpr Duration LookForPeers = std::chrono::seconds(3);
-/// How long the log has to bring a bundle that a peer has already, before the peer is asked for it.
+/// Interval at which peers are checked for a newer bundle; leaves the log time to deliver it first.
 constexpr Duration BundleCheckEvery = std::chrono::milliseconds(1000);
 
 std::string_view nameOf(SnapshotSection section)
@@ -71,7 +71,7 @@
 
 void SnapshotController::take(const SnapshotPiece &piece, const Member &from, TimePoint now)
 {
-    // A late answer of a peer that was given up would mix two peers' cursors and leave holes.
+    // A late answer of a peer that timed out would mix the cursors of two peers and leave gaps.
     const bool awaited = m_fetch && m_fetch->section == piece.section
                          && m_fetch->cursor == piece.cursor && m_fetch->from.node == from.node;
     if (!awaited) {
--- a/src/vanilladyke/control/snapshot_controller_test.cpp
+++ b/src/vanilladyke/control/snapshot_controller_test.cpp
@@ -17,7 +17,7 @@
     return member;
 }
 
-/// A node that starts, with what it sent and took in.
+/// A starting node that records the messages it sent and the pieces it merged.
 struct StartingNode
 {
     explicit StartingNode(std::vector<Member> members)
@@ -59,7 +59,7 @@
 const Member farNode = readyNode("n2", "ikeja-hall", 2);
 const Member nearNode = readyNode("n3", "yaba-hall", 3);
 
-TEST(SnapshotController, AsksTheNearestReadyPeerPieceByPiece)
+TEST(SnapshotController, FetchesPiecesFromTheNearestReadyPeer)
 {
     StartingNode node({selfNode, farNode, nearNode});
     ASSERT_EQ(node.sent.size(), 1U);
@@ -73,9 +73,9 @@
     EXPECT_TRUE(node.controller.warm());
 }
 
-// The peer that was asked dies before it answers, and its answer comes after another peer was
-// asked. Waiting for it would leave the node cold; mixing both peers' pieces would leave holes.
-TEST(SnapshotController, TurnsToAnotherPeerAndIgnoresTheLateAnswer)
+// Guards against waiting for a peer that does not answer, which would leave the cache view empty,
+// and against accepting its late answer after another peer was asked, which would leave gaps.
+TEST(SnapshotController, AsksAnotherPeerAfterTimeoutAndIgnoresTheLateAnswer)
 {
     StartingNode node({selfNode, farNode, nearNode});
     node.wait(milliseconds(900));
@@ -86,9 +86,9 @@
     EXPECT_EQ(node.taken, std::vector<std::string>{"good"});
 }
 
-// All hosts are replaced at once and nobody has anything to give. A node that waited for a ready
-// peer for good would never get ready.
-TEST(SnapshotController, TheFirstNodeOfAFleetGoesOnAlone)
+// Guards against waiting for a ready peer without limit: when all hosts are replaced at once there
+// is none, and no node would become ready.
+TEST(SnapshotController, FirstNodeOfAFleetStartsWithoutPeers)
 {
     StartingNode node({selfNode});
     node.wait(std::chrono::seconds(4));
@@ -96,8 +96,8 @@
     EXPECT_TRUE(node.sent.empty());
 }
 
-// The log is down while a peer already has a newer bundle. Without asking, this node would go on
-// under the old one for as long as the log is away.
+// Guards against running with an old bundle for as long as the log is down although a peer has a
+// newer one.
 TEST(SnapshotController, FetchesANewerBundleFromAPeer)
 {
     StartingNode node({selfNode});
@@ -113,7 +113,7 @@
     EXPECT_EQ(node.taken, std::vector<std::string>{"version 9"});
 }
 
-TEST(SnapshotController, AnswersARequestOnTheRouteItCameBy)
+TEST(SnapshotController, AnswersARequestOnItsReplyRoute)
 {
     StartingNode node({selfNode});
     node.controller.handle(
--- a/src/vanilladyke/control/snapshot_stores_test.cpp
+++ b/src/vanilladyke/control/snapshot_stores_test.cpp
@@ -14,7 +14,7 @@
     return {{{mixBits(number), mixBits(~number)}, 64}};
 }
 
-/// One node's view and the controller that writes it.
+/// A cache view and the controller that writes it.
 struct Node
 {
     SharedCacheView view{ViewBytes};
@@ -22,9 +22,9 @@
     SnapshotStore store = cacheViewStore(view, controller);
 };
 
-// A restarted node has an empty view. It sends the first requests of each prefix to an engine that
-// has to compute it anew, unless it takes over what its peer knows, all of it.
-TEST(SnapshotStores, ANodeTakesOverTheWholeCacheViewPieceByPiece)
+// Guards against an incomplete transfer of the cache view to a restarted node: the first requests
+// of each missing prefix would go to engines that have to prefill it again.
+TEST(SnapshotStores, TransfersTheWholeCacheViewInPieces)
 {
     constexpr std::uint64_t Prefixes = 3500;
     Node warm;
@@ -49,9 +49,9 @@
     EXPECT_EQ(cold.view.holders(chainOf(1), now).size(), 1U);
 }
 
-// The peer's news is of an engine's former life. Counted, it would send requests to an engine that
-// has long come back empty.
-TEST(SnapshotStores, NewsOfAnOlderIncarnationIsNotTakenOver)
+// Guards against accepting a peer's entries of an engine's former incarnation: requests would go to
+// an engine that restarted with an empty cache.
+TEST(SnapshotStores, EntriesOfAnOlderIncarnationAreIgnored)
 {
     Node node;
     const EngineKey engine = engineKeyOf(EngineId("copy-1"));
