--- a/include/vanilladyke/control/bundle_board.hpp
+++ b/include/vanilladyke/control/bundle_board.hpp
@@ -18,7 +18,7 @@
     std::shared_ptr<const AcceptedBundle> accepted; ///< null until a bundle has been accepted
     std::vector<HistoryEntry> history;
     bool logReachable = false;
-    bool logUnbroken = true; ///< false while records are missing and no checkpoint replaces them
+    bool logComplete = true; ///< false while records are missing and no checkpoint replaces them
     std::string logTrouble;  ///< why the log can't be read or no bundle is accepted from it
 };
 
@@ -35,7 +35,7 @@
     verdict(const std::string &nonce, const std::string &digest, TimePoint deadline) const;
 
     /// @brief Replaces the status and wakes waiting publishers.
-    void show(BundleStatus status);
+    void setStatus(BundleStatus status);
     /// @brief Adds a verdict and wakes waiting publishers.
     void addNote(FoldNote note);
 
--- a/include/vanilladyke/control/bundle_controller.hpp
+++ b/include/vanilladyke/control/bundle_controller.hpp
@@ -33,15 +33,15 @@
     [[nodiscard]] std::string peerRecord() const;
     /// @brief Activates the bundle of a peer's peerRecord() if its signatures are valid and its
     /// version is newer.
-    void takePeerRecord(std::string_view data);
+    void acceptPeerRecord(std::string_view data);
 
 private:
-    void takePage(const LogPage &page);
+    void applyPage(const LogPage &page);
     [[nodiscard]] const std::vector<HistoryEntry> &history() const;
-    void enforce(const AcceptedBundle &accepted, std::string_view source);
-    void checkpoint(TimePoint now);
+    void activate(const AcceptedBundle &accepted, std::string_view source);
+    void appendDueCheckpoint(TimePoint now);
     [[nodiscard]] Duration checkpointDelay() const;
-    void show();
+    void publishStatus();
 
     BundleControl m_control;
     BundleBoard &m_board;
@@ -52,9 +52,9 @@
     std::shared_ptr<const AcceptedBundle> m_accepted; ///< null for a bundle from a file
     std::vector<HistoryEntry> m_peerHistory;
     bool m_logReachable = false;
-    std::string m_logTrouble = "the log has not been read yet";
+    std::string m_logError = "the log has not been read yet";
     std::optional<TimePoint> m_checkpointAt;
-    TimePoint m_nextCheckpointLook = TimePoint::min();
+    TimePoint m_nextCheckpointCheck = TimePoint::min();
 };
 
 } // namespace vanilladyke
--- a/include/vanilladyke/control/bundle_snapshot.hpp
+++ b/include/vanilladyke/control/bundle_snapshot.hpp
@@ -29,10 +29,10 @@
 
 private:
     BundleController &m_bundles;
-    std::string m_given;       ///< record being sent
-    std::string m_givenDigest; ///< digest of m_given
-    std::string m_taken;       ///< bytes received so far of the record being received
-    std::string m_takenDigest; ///< digest that the whole record must have
+    std::string m_outgoing;       ///< record being sent
+    std::string m_outgoingDigest; ///< digest of m_outgoing
+    std::string m_incoming;       ///< bytes received so far of the record being received
+    std::string m_incomingDigest; ///< digest that the whole record must have
 };
 
 } // namespace vanilladyke
--- a/include/vanilladyke/control/cache_controller.hpp
+++ b/include/vanilladyke/control/cache_controller.hpp
@@ -18,7 +18,7 @@
     void handle(const Event &event, TimePoint now);
     /// @brief Adds an entry of a peer's view. It has no effect if its incarnation is older than the
     /// one recorded here, or if the view holds a newer entry.
-    void takeOver(const CacheEntry &entry, TimePoint now);
+    void mergeEntry(const CacheEntry &entry, TimePoint now);
     void contribute(Fleet &, TimePoint) const {} // traffic threads read the view directly
 
 private:
@@ -29,8 +29,8 @@
         std::uint64_t next = 1; ///< sequence number of the next expected event
     };
 
-    void take(const CacheEventsRead &page, TimePoint now);
-    void take(const PrefixSent &sent, TimePoint now);
+    void apply(const CacheEventsRead &page, TimePoint now);
+    void apply(const PrefixSent &sent, TimePoint now);
     void enterIncarnation(EngineKey engine, Incarnation incarnation, TimePoint now);
 
     SharedCacheView &m_view;
--- a/include/vanilladyke/control/claim_controller.hpp
+++ b/include/vanilladyke/control/claim_controller.hpp
@@ -21,15 +21,15 @@
     void contribute(Fleet &fleet, TimePoint now);
 
 private:
-    void take(const ClaimAsked &asked, Moment at);
-    void take(const ClaimSettled &settled, Moment at);
-    void take(const ClaimsAppended &appended, Moment at);
-    void take(const ClaimsRead &read, Moment at);
+    void apply(const ClaimRequested &requested, Moment at);
+    void apply(const ClaimSettled &settled, Moment at);
+    void apply(const ClaimsAppended &appended, Moment at);
+    void apply(const ClaimsRead &read, Moment at);
     void deliver();
 
     ClaimLedger m_ledger;
     ClaimIo &m_io;
-    std::map<ClaimTicket, ClaimAsked> m_asked;
+    std::map<ClaimTicket, ClaimRequested> m_requests;
 };
 
 } // namespace vanilladyke
--- a/include/vanilladyke/control/claim_events.hpp
+++ b/include/vanilladyke/control/claim_events.hpp
@@ -27,7 +27,7 @@
 };
 
 /// @brief A traffic thread requests a permit for a call that must not be repeated.
-struct ClaimAsked
+struct ClaimRequested
 {
     ClaimRequest request;
     std::shared_ptr<ClaimWait> wait;
@@ -53,6 +53,6 @@
 };
 
 /// @brief Events for the claim controller; the inbox never drops them.
-using ClaimEvent = std::variant<ClaimAsked, ClaimSettled, ClaimsAppended, ClaimsRead>;
+using ClaimEvent = std::variant<ClaimRequested, ClaimSettled, ClaimsAppended, ClaimsRead>;
 
 } // namespace vanilladyke
--- a/include/vanilladyke/control/claim_io.hpp
+++ b/include/vanilladyke/control/claim_io.hpp
@@ -19,7 +19,7 @@
 struct ClaimProgress
 {
     std::uint64_t nextOffset = 0; ///< first offset that the ledger has not read
-    bool wantsRead = false;       ///< a claim waits for a page of the log
+    bool needsRead = false;       ///< a claim waits for a page of the log
     bool idle = true;             ///< nothing is left to append and no call is being sent
 };
 
@@ -64,17 +64,17 @@
     void wakeAt(TimePoint when);
     /// @brief Starts the read thread, which first reads this window back; later calls have no
     /// effect.
-    void readBack(Duration window);
+    void startReading(Duration window);
     /// @brief Reports that the last page was processed, so that the next may be read.
-    void pageTaken();
+    void pageProcessed();
     /// @brief Publishes the state of the ledger to the log threads.
-    void tell(const ClaimProgress &progress);
+    void setProgress(const ClaimProgress &progress);
 
     /// @brief Waits for the next batch to append. An empty batch means that the control thread has
     /// to be woken; none means stop.
     [[nodiscard]] std::optional<ClaimBatch> nextBatch(const std::stop_token &stop);
     [[nodiscard]] std::optional<Duration> awaitWindow(const std::stop_token &stop);
-    void awaitPageTaken(const std::stop_token &stop);
+    void awaitPageProcessed(const std::stop_token &stop);
     void pause(const std::stop_token &stop, TimePoint until);
     [[nodiscard]] ClaimProgress progress() const;
 
@@ -88,7 +88,7 @@
     std::optional<ClaimBatch> m_batch;
     std::optional<TimePoint> m_wakeAt;
     std::optional<Duration> m_window;
-    bool m_pageTaken = false;
+    bool m_pageProcessed = false;
     ClaimProgress m_progress;
 };
 
@@ -110,10 +110,10 @@
 
 private:
     /// A slower append counts as unresolved; a healthy log answers within milliseconds.
-    static constexpr Duration AppendWithin = std::chrono::milliseconds(1000);
-    static constexpr Duration ReadWithin = std::chrono::milliseconds(1000);
+    static constexpr Duration AppendTimeout = std::chrono::milliseconds(1000);
+    static constexpr Duration ReadTimeout = std::chrono::milliseconds(1000);
     /// Shorter while a claim waits, so that a dead connection is detected early.
-    static constexpr Duration UrgentReadWithin = std::chrono::milliseconds(400);
+    static constexpr Duration UrgentReadTimeout = std::chrono::milliseconds(400);
     static constexpr Duration PauseAfterFailure = std::chrono::milliseconds(100);
 
     void runAppends(const std::stop_token &stop)
@@ -124,7 +124,7 @@
                 continue;
             }
             const TimePoint started = MonotonicClock::now();
-            const auto answer = m_appends.append(encodeClaims(*batch), started + AppendWithin);
+            const auto answer = m_appends.append(encodeClaims(*batch), started + AppendTimeout);
             m_metrics.count("claim_appends_total");
             m_metrics.count("claim_records_total", batch->size());
             m_metrics.observe("claim_append_seconds", MonotonicClock::now() - started);
@@ -134,35 +134,35 @@
 
     void runReads(const std::stop_token &stop)
     {
-        LogOffset from = readBackFrom(stop);
+        LogOffset from = awaitStartOffset(stop);
         while (!stop.stop_requested()) {
             const ClaimProgress progress = m_io.progress();
             from = std::max(from, progress.nextOffset);
             const TimePoint askedAt = MonotonicClock::now();
             const auto page = m_reads.read(
-                    from, askedAt + (progress.wantsRead ? UrgentReadWithin : ReadWithin));
+                    from, askedAt + (progress.needsRead ? UrgentReadTimeout : ReadTimeout));
             if (!page) {
                 m_metrics.count("claim_read_failures_total");
                 m_io.pause(stop, MonotonicClock::now() + PauseAfterFailure);
                 continue;
             }
-            const bool wentBack = page->nextOffset < from;
-            from = wentBack                ? page->firstOffset
+            const bool wasTruncated = page->nextOffset < from;
+            from = wasTruncated            ? page->firstOffset
                    : page->records.empty() ? from
                                            : page->records.back().offset + 1;
             m_inbox.post(ClaimEvent(ClaimsRead{decodePage(*page, askedAt)}));
-            m_io.awaitPageTaken(stop);
+            m_io.awaitPageProcessed(stop);
         }
     }
 
     /// Records older than one window need not be read: their keys are refused because of their age.
-    LogOffset readBackFrom(const std::stop_token &stop)
+    LogOffset awaitStartOffset(const std::stop_token &stop)
     {
         const auto window = m_io.awaitWindow(stop);
         while (window && !stop.stop_requested()) {
             const WallTime notBefore =
                     forgettableBefore(std::chrono::system_clock::now(), *window) - 2 * ClockSkew;
-            const auto start = findStart(m_reads, notBefore, MonotonicClock::now() + ReadWithin);
+            const auto start = findStart(m_reads, notBefore, MonotonicClock::now() + ReadTimeout);
             if (start) {
                 return *start;
             }
--- a/include/vanilladyke/control/control_thread.hpp
+++ b/include/vanilladyke/control/control_thread.hpp
@@ -34,13 +34,13 @@
     }
 
 private:
-    static constexpr Duration TickEvery = std::chrono::milliseconds(50);
-    static constexpr int MostEventsAtOnce = 256;
+    static constexpr Duration TickInterval = std::chrono::milliseconds(50);
+    static constexpr int MaxEventsPerBatch = 256;
 
     void run(const std::stop_token &stop)
     {
         while (!stop.stop_requested()) {
-            std::optional<Event> event = m_inbox.take(MonotonicClock::now() + TickEvery);
+            std::optional<Event> event = m_inbox.take(MonotonicClock::now() + TickInterval);
             handle(event ? *event : Event(Tick{}));
             drain();
             publish();
@@ -51,7 +51,7 @@
     /// batch.
     void drain()
     {
-        for (int i = 0; i < MostEventsAtOnce; ++i) {
+        for (int i = 0; i < MaxEventsPerBatch; ++i) {
             const std::optional<Event> event = m_inbox.take(TimePoint::min());
             if (!event) {
                 return;
--- a/include/vanilladyke/control/events.hpp
+++ b/include/vanilladyke/control/events.hpp
@@ -108,6 +108,6 @@
                            LoadObserved, ClaimEvent>;
 
 /// @brief Whether the event may be dropped when the inbox is full, since a later one replaces it.
-[[nodiscard]] bool isSoft(const Event &event);
+[[nodiscard]] bool isDroppable(const Event &event);
 
 } // namespace vanilladyke
--- a/include/vanilladyke/control/inbox.hpp
+++ b/include/vanilladyke/control/inbox.hpp
@@ -13,8 +13,8 @@
 
 /// @brief Bounded event queue of the control thread. Thread-safe.
 ///
-/// When it is full, the oldest droppable event (isSoft()) is dropped and counted, so that many load
-/// reports can't displace bundles or claims, which are never dropped.
+/// When it is full, the oldest droppable event (isDroppable()) is dropped and counted, so that many
+/// load reports can't displace bundles or claims, which are never dropped.
 class Inbox
 {
 public:
--- a/include/vanilladyke/control/membership_controller.hpp
+++ b/include/vanilladyke/control/membership_controller.hpp
@@ -25,8 +25,8 @@
 
 private:
     void send(std::vector<Outgoing> outgoing);
-    void passOnLeaving();
-    void noteLoad(const PeerMessage &message, TimePoint now);
+    void postLeavingEngines();
+    void recordLoad(const PeerMessage &message, TimePoint now);
     void logChanges();
 
     Membership m_membership;
--- a/include/vanilladyke/control/snapshot_controller.hpp
+++ b/include/vanilladyke/control/snapshot_controller.hpp
@@ -39,7 +39,7 @@
     void contribute(const Fleet &fleet, TimePoint now);
 
     /// @brief Whether all sections were fetched once, or no peer was found to fetch them from.
-    [[nodiscard]] bool warm() const { return m_next == SectionCount && !m_fetch; }
+    [[nodiscard]] bool isComplete() const { return m_next == SectionCount && !m_fetch; }
 
 private:
     /// Transfer of one section from one peer.
@@ -53,9 +53,9 @@
 
     [[nodiscard]] SnapshotStore &storeOf(SnapshotSection section);
     void answer(const SnapshotRequest &request, const ReplyRoute &route);
-    void take(const SnapshotPiece &piece, const Member &from, TimePoint now);
-    void begin(SnapshotSection section, const Member &from, TimePoint now);
-    void ask(TimePoint now);
+    void applyPiece(const SnapshotPiece &piece, const Member &from, TimePoint now);
+    void startFetch(SnapshotSection section, const Member &from, TimePoint now);
+    void sendRequest(TimePoint now);
     void advance(TimePoint now);
     [[nodiscard]] const Member *nearestReady() const;
     [[nodiscard]] const Member *peerWithNewerBundle() const;
--- a/src/vanilladyke/control/bundle_board.cpp
+++ b/src/vanilladyke/control/bundle_board.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// Number of verdicts kept for waiting publishers; each publisher waits for a few seconds.
-constexpr std::size_t MostNotes = 4096;
+constexpr std::size_t MaxNotes = 4096;
 
 } // namespace
 
@@ -49,7 +49,7 @@
     return std::nullopt;
 }
 
-void BundleBoard::show(BundleStatus status)
+void BundleBoard::setStatus(BundleStatus status)
 {
     {
         const std::lock_guard lock(m_mutex);
@@ -63,7 +63,7 @@
     {
         const std::lock_guard lock(m_mutex);
         m_notes.push_back(std::move(note));
-        if (m_notes.size() > MostNotes) {
+        if (m_notes.size() > MaxNotes) {
             m_notes.pop_front();
         }
     }
--- a/src/vanilladyke/control/bundle_controller.cpp
+++ b/src/vanilladyke/control/bundle_controller.cpp
@@ -13,7 +13,7 @@
 /// Delay per rank: the node of rank n appends a due checkpoint n times this later than the first
 /// node. Long enough for one node to append it and for all others to read it.
 constexpr Duration CheckpointRankDelay = std::chrono::seconds(2);
-constexpr Duration CheckpointLookEvery = std::chrono::milliseconds(500);
+constexpr Duration CheckpointCheckInterval = std::chrono::milliseconds(500);
 
 } // namespace
 
@@ -24,21 +24,21 @@
     , m_fleet(fleet)
     , m_fold(m_control.trusted)
 {
-    show();
+    publishStatus();
 }
 
 void BundleController::handle(const Event &event, TimePoint now)
 {
     if (const auto *read = std::get_if<BundleLogRead>(&event)) {
-        takePage(*read->page);
+        applyPage(*read->page);
     } else if (const auto *down = std::get_if<BundleLogDown>(&event)) {
         m_logReachable = false;
-        m_logTrouble = down->reason;
-        show();
+        m_logError = down->reason;
+        publishStatus();
     }
-    if (now >= m_nextCheckpointLook) {
-        m_nextCheckpointLook = now + CheckpointLookEvery;
-        checkpoint(now);
+    if (now >= m_nextCheckpointCheck) {
+        m_nextCheckpointCheck = now + CheckpointCheckInterval;
+        appendDueCheckpoint(now);
     }
 }
 
@@ -49,11 +49,11 @@
     fleet.bundleOffset = m_accepted ? m_accepted->entry.offset : 0;
 }
 
-void BundleController::takePage(const LogPage &page)
+void BundleController::applyPage(const LogPage &page)
 {
-    const bool cameBack = !m_logReachable;
+    const bool reconnected = !m_logReachable;
     m_logReachable = true;
-    m_logTrouble.clear();
+    m_logError.clear();
     const std::vector<FoldNote> notes = m_fold.apply(page);
     for (const FoldNote &note : notes) {
         LogEvent("bundle_record",
@@ -66,10 +66,10 @@
     }
     const auto &accepted = m_fold.accepted();
     if (accepted && m_fold.caughtUp()) {
-        enforce(*accepted, "log");
+        activate(*accepted, "log");
     }
-    if (cameBack || !notes.empty()) {
-        show();
+    if (reconnected || !notes.empty()) {
+        publishStatus();
     }
     for (const FoldNote &note : notes) {
         m_board.addNote(note);
@@ -89,18 +89,18 @@
 
 /// Signatures and version are checked as for a record of the log, so that a faulty peer can
 /// introduce neither an unsigned bundle nor an older one.
-void BundleController::takePeerRecord(std::string_view data)
+void BundleController::acceptPeerRecord(std::string_view data)
 {
     auto record = parseBundleRecord(data);
-    const bool whole =
+    const bool isValid =
             record && record->checkpoint
             && record->checkpoint->history.back().digest == digestOf(record->bundle.text);
-    if (!whole
+    if (!isValid
         || validSigners(record->bundle, m_control.trusted).size() < m_control.trusted.needed) {
         LogEvent("bundle_refused", Severity::Warning)
                 .field("source", "peer")
-                .field("reason", whole ? "bundle has too few valid signatures of trusted signers"
-                                       : "record is malformed or its history does not match");
+                .field("reason", isValid ? "bundle has too few valid signatures of trusted signers"
+                                         : "record is malformed or its history does not match");
         return;
     }
     const HistoryEntry last = record->checkpoint->history.back();
@@ -108,8 +108,8 @@
         return;
     }
     m_peerHistory = std::move(record->checkpoint->history);
-    enforce({std::move(record->bundle), last}, "peer");
-    show();
+    activate({std::move(record->bundle), last}, "peer");
+    publishStatus();
 }
 
 /// The history from the log, unless the active bundle was received only from a peer.
@@ -121,7 +121,7 @@
     return current ? fromLog : m_peerHistory;
 }
 
-void BundleController::enforce(const AcceptedBundle &accepted, std::string_view source)
+void BundleController::activate(const AcceptedBundle &accepted, std::string_view source)
 {
     const auto header = parseBundleHeader(accepted.bundle.text);
     const bool newer = header && (!m_bundle || header->version > m_bundle->version);
@@ -145,7 +145,7 @@
             .field("source", source);
 }
 
-void BundleController::checkpoint(TimePoint now)
+void BundleController::appendDueCheckpoint(TimePoint now)
 {
     auto due = m_fold.checkpointDue(std::chrono::system_clock::now(), m_control.logRetention);
     if (!due || !m_logReachable) {
@@ -181,19 +181,19 @@
     return CheckpointRankDelay * before;
 }
 
-void BundleController::show()
+void BundleController::publishStatus()
 {
     BundleStatus status;
     status.accepted = m_accepted;
     status.history = history();
     status.logReachable = m_logReachable;
-    status.logUnbroken = m_fold.unbroken();
-    status.logTrouble = m_logTrouble;
+    status.logComplete = m_fold.unbroken();
+    status.logTrouble = m_logError;
     if (m_logReachable && !m_fold.unbroken()) {
         status.logTrouble =
                 "log records were dropped before they were read; waiting for a checkpoint";
     }
-    m_board.show(std::move(status));
+    m_board.setStatus(std::move(status));
 }
 
 } // namespace vanilladyke
--- a/src/vanilladyke/control/bundle_log.cpp
+++ b/src/vanilladyke/control/bundle_log.cpp
@@ -11,11 +11,11 @@
 
 /// Reads are long polls: the log delays its answer until there is a record, for most of this time.
 /// A dead connection is detected when it has passed.
-constexpr Duration ReadWithin = std::chrono::seconds(2);
+constexpr Duration ReadTimeout = std::chrono::seconds(2);
 /// Shorter for the first read: an empty log delays its answer, and until then the status shown to
 /// operators would say that the log has not been read yet.
-constexpr Duration FirstReadWithin = std::chrono::milliseconds(200);
-constexpr Duration AppendWithin = std::chrono::seconds(3);
+constexpr Duration FirstReadTimeout = std::chrono::milliseconds(200);
+constexpr Duration AppendTimeout = std::chrono::seconds(3);
 
 } // namespace
 
@@ -31,13 +31,13 @@
     BackOff backOff;
     LogOffset from = 0;
     // A long poll lasts for seconds; cancelling it keeps the shutdown of the node from waiting.
-    const std::stop_callback breakOff(stop, [this] { m_client.cancel(); });
+    const std::stop_callback cancelRead(stop, [this] { m_client.cancel(); });
     std::mutex mutex;
     std::condition_variable_any wake;
-    Duration readWithin = FirstReadWithin;
+    Duration readTimeout = FirstReadTimeout;
     while (!stop.stop_requested()) {
-        auto page = m_client.read(from, MonotonicClock::now() + readWithin);
-        readWithin = ReadWithin;
+        auto page = m_client.read(from, MonotonicClock::now() + readTimeout);
+        readTimeout = ReadTimeout;
         if (page) {
             from = std::max(from, page->firstOffset);
             if (!page->records.empty()) {
@@ -87,7 +87,7 @@
         const std::string record = std::move(*m_record);
         m_record.reset();
         lock.unlock();
-        const auto offset = m_client.append(record, MonotonicClock::now() + AppendWithin);
+        const auto offset = m_client.append(record, MonotonicClock::now() + AppendTimeout);
         if (!offset) {
             LogEvent("checkpoint_failed", Severity::Warning)
                     .field("error", toString(offset.error().error))
--- a/src/vanilladyke/control/bundle_snapshot.cpp
+++ b/src/vanilladyke/control/bundle_snapshot.cpp
@@ -13,14 +13,14 @@
 SnapshotPiece BundleSnapshot::write(std::uint64_t cursor)
 {
     if (cursor == 0) {
-        m_given = m_bundles.peerRecord();
-        m_givenDigest = digestOf(m_given);
+        m_outgoing = m_bundles.peerRecord();
+        m_outgoingDigest = digestOf(m_outgoing);
     }
     SnapshotPiece piece;
-    const std::size_t from = std::min<std::uint64_t>(cursor, m_given.size());
-    const std::size_t size = std::min(PieceBytes, m_given.size() - from);
-    piece.items = {m_givenDigest, m_given.substr(from, size)};
-    piece.nextCursor = from + size < m_given.size() ? from + size : 0;
+    const std::size_t from = std::min<std::uint64_t>(cursor, m_outgoing.size());
+    const std::size_t size = std::min(PieceBytes, m_outgoing.size() - from);
+    piece.items = {m_outgoingDigest, m_outgoing.substr(from, size)};
+    piece.nextCursor = from + size < m_outgoing.size() ? from + size : 0;
     return piece;
 }
 
@@ -30,24 +30,24 @@
         return;
     }
     if (piece.cursor == 0) {
-        m_taken.clear();
-        m_takenDigest = piece.items[0];
+        m_incoming.clear();
+        m_incomingDigest = piece.items[0];
     }
-    const bool fits = piece.items[0] == m_takenDigest && piece.cursor == m_taken.size()
-                      && m_taken.size() + piece.items[1].size() <= MostRecordBytes;
-    if (!fits) {
-        m_taken.clear();
-        m_takenDigest.clear();
+    const bool isNextPiece = piece.items[0] == m_incomingDigest && piece.cursor == m_incoming.size()
+                             && m_incoming.size() + piece.items[1].size() <= MostRecordBytes;
+    if (!isNextPiece) {
+        m_incoming.clear();
+        m_incomingDigest.clear();
         return;
     }
-    m_taken += piece.items[1];
+    m_incoming += piece.items[1];
     if (piece.nextCursor != 0) {
         return;
     }
-    if (!m_taken.empty() && digestOf(m_taken) == m_takenDigest) {
-        m_bundles.takePeerRecord(m_taken);
+    if (!m_incoming.empty() && digestOf(m_incoming) == m_incomingDigest) {
+        m_bundles.acceptPeerRecord(m_incoming);
     }
-    m_taken.clear();
+    m_incoming.clear();
 }
 
 SnapshotStore BundleSnapshot::store()
--- a/src/vanilladyke/control/bundle_snapshot_test.cpp
+++ b/src/vanilladyke/control/bundle_snapshot_test.cpp
@@ -62,7 +62,7 @@
     return writeBundleRecord(record);
 }
 
-void handOver(Node &from, Node &to)
+void transferBundle(Node &from, Node &to)
 {
     std::uint64_t cursor = 0;
     do {
@@ -80,7 +80,7 @@
     Node peer;
     peer.readLog(record(1, "", signer(1), 3 * BundleSnapshot::PieceBytes), 0);
     Node started;
-    handOver(peer, started);
+    transferBundle(peer, started);
     EXPECT_EQ(started.version(), 1U);
     EXPECT_EQ(started.board.status().history, peer.board.status().history);
     EXPECT_EQ(started.bundles.peerRecord(), peer.bundles.peerRecord());
@@ -91,8 +91,8 @@
 TEST(BundleSnapshot, PeerBundleWithoutValidSignaturesIsRefused)
 {
     Node started;
-    started.bundles.takePeerRecord(record(5, "", signer(2)));
-    started.bundles.takePeerRecord(record(5, "", signer(1)));
+    started.bundles.acceptPeerRecord(record(5, "", signer(2)));
+    started.bundles.acceptPeerRecord(record(5, "", signer(1)));
     EXPECT_EQ(started.version(), 0U)
             << "untrusted signer, and trusted signature without an acceptance history";
 }
@@ -106,9 +106,9 @@
     newer.readLog(first, 0);
     const std::string parent = digestOf(parseBundleRecord(first)->bundle.text);
     newer.readLog(record(2, parent, signer(1)), 1);
-    handOver(peer, newer);
+    transferBundle(peer, newer);
     EXPECT_EQ(newer.version(), 2U);
-    handOver(newer, peer);
+    transferBundle(newer, peer);
     EXPECT_EQ(peer.version(), 2U);
 }
 
@@ -120,16 +120,16 @@
     const std::string first = record(1, "", signer(1), 2 * BundleSnapshot::PieceBytes);
     peer.readLog(first, 0);
     Node started;
-    const SnapshotPiece begun = peer.snapshot.write(0);
-    started.snapshot.read(begun);
+    const SnapshotPiece firstPiece = peer.snapshot.write(0);
+    started.snapshot.read(firstPiece);
     const std::string parent = digestOf(parseBundleRecord(first)->bundle.text);
     peer.readLog(record(2, parent, signer(1), 2 * BundleSnapshot::PieceBytes), 1);
     static_cast<void>(peer.snapshot.write(0));
-    SnapshotPiece other = peer.snapshot.write(begun.nextCursor);
-    other.cursor = begun.nextCursor;
+    SnapshotPiece other = peer.snapshot.write(firstPiece.nextCursor);
+    other.cursor = firstPiece.nextCursor;
     started.snapshot.read(other);
     EXPECT_EQ(started.version(), 0U);
-    handOver(peer, started);
+    transferBundle(peer, started);
     EXPECT_EQ(started.version(), 2U);
 }
 
@@ -140,7 +140,7 @@
     piece.items = items;
     node.snapshot.read(piece);
     for (const std::string &item : items) {
-        node.bundles.takePeerRecord(item);
+        node.bundles.acceptPeerRecord(item);
     }
     RC_ASSERT(node.version() == 0U);
 }
--- a/src/vanilladyke/control/cache_controller.cpp
+++ b/src/vanilladyke/control/cache_controller.cpp
@@ -9,13 +9,13 @@
     if (const auto *report = std::get_if<EngineReported>(&event)) {
         enterIncarnation(engineKeyOf(report->engine), report->incarnation, now);
     } else if (const auto *page = std::get_if<CacheEventsRead>(&event)) {
-        take(*page, now);
+        apply(*page, now);
     } else if (const auto *sent = std::get_if<PrefixSent>(&event)) {
-        take(*sent, now);
+        apply(*sent, now);
     }
 }
 
-void CacheController::takeOver(const CacheEntry &entry, TimePoint now)
+void CacheController::mergeEntry(const CacheEntry &entry, TimePoint now)
 {
     enterIncarnation(entry.engine, entry.incarnation, now - entry.age);
     m_view.stored(entry.engine, entry.incarnation, entry.hash, now - entry.age);
@@ -33,7 +33,7 @@
 
 /// Pages of another incarnation are ignored. A gap in the sequence numbers may hide an eviction, so
 /// all earlier entries of the engine are marked untrusted when one is found.
-void CacheController::take(const CacheEventsRead &page, TimePoint now)
+void CacheController::apply(const CacheEventsRead &page, TimePoint now)
 {
     const EngineKey engine = engineKeyOf(page.engine);
     enterIncarnation(engine, page.incarnation, now);
@@ -63,7 +63,7 @@
     }
 }
 
-void CacheController::take(const PrefixSent &sent, TimePoint now)
+void CacheController::apply(const PrefixSent &sent, TimePoint now)
 {
     for (const PrefixCut &cut : *sent.chain) {
         m_view.stored(sent.engine, sent.incarnation, cut.hash, now);
--- a/src/vanilladyke/control/claim_codec_test.cpp
+++ b/src/vanilladyke/control/claim_codec_test.cpp
@@ -86,7 +86,7 @@
     EXPECT_EQ(decodeClaims(encodeClaims(batch)).value(), batch);
 }
 
-wire::ClaimRecord soundRecord()
+wire::ClaimRecord validRecord()
 {
     Random random(1);
     wire::ClaimBatch batch;
@@ -96,7 +96,7 @@
     return batch.records(0);
 }
 
-bool reads(const wire::ClaimRecord &record)
+bool decodes(const wire::ClaimRecord &record)
 {
     wire::ClaimBatch batch;
     *batch.add_records() = record;
@@ -105,28 +105,28 @@
 
 TEST(ClaimCodec, WrongSizesAndKindsAreRefused)
 {
-    ASSERT_TRUE(reads(soundRecord()));
-    wire::ClaimRecord record = soundRecord();
+    ASSERT_TRUE(decodes(validRecord()));
+    wire::ClaimRecord record = validRecord();
     record.mutable_key()->set_key("short");
-    EXPECT_FALSE(reads(record));
-    record = soundRecord();
+    EXPECT_FALSE(decodes(record));
+    record = validRecord();
     record.mutable_key()->mutable_key()->at(6) = 0x40; // version 4
-    EXPECT_FALSE(reads(record));
-    record = soundRecord();
+    EXPECT_FALSE(decodes(record));
+    record = validRecord();
     record.mutable_key()->set_customer(std::string(10'000, 'x'));
-    EXPECT_FALSE(reads(record));
-    record = soundRecord();
+    EXPECT_FALSE(decodes(record));
+    record = validRecord();
     record.mutable_nonce()->set_sequence(0);
-    EXPECT_FALSE(reads(record));
-    record = soundRecord();
+    EXPECT_FALSE(decodes(record));
+    record = validRecord();
     record.mutable_outcome()->set_body(std::string(MostAnswerBytes + 1, 'x'));
-    EXPECT_FALSE(reads(record));
-    record = soundRecord();
+    EXPECT_FALSE(decodes(record));
+    record = validRecord();
     record.clear_body();
-    EXPECT_FALSE(reads(record));
-    record = soundRecord();
+    EXPECT_FALSE(decodes(record));
+    record = validRecord();
     record.mutable_claim();
-    EXPECT_FALSE(reads(record));
+    EXPECT_FALSE(decodes(record));
     EXPECT_FALSE(decodeClaims(std::string(5U << 20U, '\0')).has_value());
 }
 
--- a/src/vanilladyke/control/claim_controller.cpp
+++ b/src/vanilladyke/control/claim_controller.cpp
@@ -26,7 +26,7 @@
 {
     const Moment at{now, std::chrono::system_clock::now()};
     if (const auto *claims = std::get_if<ClaimEvent>(&event)) {
-        std::visit([&](const auto &each) { take(each, at); }, *claims);
+        std::visit([&](const auto &each) { apply(each, at); }, *claims);
     }
     m_ledger.tick(at);
     deliver();
@@ -35,58 +35,58 @@
     } else if (const auto when = m_ledger.nextAppendAt()) {
         m_io.wakeAt(*when);
     }
-    m_io.tell({m_ledger.nextOffset(), m_ledger.wantsRead(), m_ledger.idle()});
+    m_io.setProgress({m_ledger.nextOffset(), m_ledger.wantsRead(), m_ledger.idle()});
 }
 
 void ClaimController::contribute(Fleet &fleet, TimePoint /*now*/)
 {
     if (fleet.bundle) {
         m_ledger.configure(fleet.bundle->limits.claimWindow, fleet.liveNodes);
-        m_io.readBack(fleet.bundle->limits.claimWindow);
+        m_io.startReading(fleet.bundle->limits.claimWindow);
     }
 }
 
-void ClaimController::take(const ClaimAsked &asked, Moment at)
+void ClaimController::apply(const ClaimRequested &requested, Moment at)
 {
-    m_asked.emplace(asked.request.ticket, asked);
-    m_ledger.ask(asked.request, at);
+    m_requests.emplace(requested.request.ticket, requested);
+    m_ledger.ask(requested.request, at);
 }
 
-void ClaimController::take(const ClaimSettled &settled, Moment /*at*/)
+void ClaimController::apply(const ClaimSettled &settled, Moment /*at*/)
 {
     m_ledger.settle(settled.record);
 }
 
-void ClaimController::take(const ClaimsAppended &appended, Moment at)
+void ClaimController::apply(const ClaimsAppended &appended, Moment at)
 {
     m_ledger.appended(appended.result, appended.offset, at);
 }
 
-void ClaimController::take(const ClaimsRead &read, Moment at)
+void ClaimController::apply(const ClaimsRead &read, Moment at)
 {
     m_ledger.read(read.page, at);
-    m_io.pageTaken();
+    m_io.pageProcessed();
 }
 
 void ClaimController::deliver()
 {
     for (ClaimDecision &decision : m_ledger.takeDecisions()) {
-        const auto asked = m_asked.find(decision.ticket);
-        if (asked == m_asked.end()) {
+        const auto requested = m_requests.find(decision.ticket);
+        if (requested == m_requests.end()) {
             continue;
         }
-        const ClaimKey key = asked->second.request.key;
+        const ClaimKey key = requested->second.request.key;
         LogEvent("claim")
                 .field("customer", key.customer.str())
                 .field("service", key.service.str())
                 .field("verdict", nameOf(decision.verdict));
         const auto *permit = std::get_if<MaySend>(&decision.verdict);
         const ClaimNonce nonce = permit == nullptr ? ClaimNonce() : permit->nonce;
-        const bool waited = asked->second.wait->deliver(std::move(decision.verdict));
-        if (!waited && nonce.sequence != 0) {
+        const bool delivered = requested->second.wait->deliver(std::move(decision.verdict));
+        if (!delivered && nonce.sequence != 0) {
             m_ledger.settle(ClaimRelease{key, nonce});
         }
-        m_asked.erase(asked);
+        m_requests.erase(requested);
     }
 }
 
--- a/src/vanilladyke/control/claim_desk.cpp
+++ b/src/vanilladyke/control/claim_desk.cpp
@@ -51,7 +51,7 @@
 {
     request.ticket = ClaimTicket{++m_tickets};
     auto wait = std::make_shared<ClaimWait>();
-    m_inbox.post(ClaimEvent(ClaimAsked{request, wait}));
+    m_inbox.post(ClaimEvent(ClaimRequested{request, wait}));
     std::optional<ClaimVerdict> verdict = wait->wait(request.deadline + VerdictGrace);
     if (!verdict) {
         // A verdict that comes later can't be delivered, and the controller releases the claim.
--- a/src/vanilladyke/control/claim_io.cpp
+++ b/src/vanilladyke/control/claim_io.cpp
@@ -52,7 +52,7 @@
     m_changed.notify_all();
 }
 
-void ClaimIo::readBack(Duration window)
+void ClaimIo::startReading(Duration window)
 {
     {
         const std::lock_guard lock(m_mutex);
@@ -64,16 +64,16 @@
     m_changed.notify_all();
 }
 
-void ClaimIo::pageTaken()
+void ClaimIo::pageProcessed()
 {
     {
         const std::lock_guard lock(m_mutex);
-        m_pageTaken = true;
+        m_pageProcessed = true;
     }
     m_changed.notify_all();
 }
 
-void ClaimIo::tell(const ClaimProgress &progress)
+void ClaimIo::setProgress(const ClaimProgress &progress)
 {
     bool becameIdle = false;
     {
@@ -107,11 +107,11 @@
     return m_window;
 }
 
-void ClaimIo::awaitPageTaken(const std::stop_token &stop)
+void ClaimIo::awaitPageProcessed(const std::stop_token &stop)
 {
     std::unique_lock lock(m_mutex);
-    m_changed.wait(lock, stop, [this] { return m_pageTaken; });
-    m_pageTaken = false;
+    m_changed.wait(lock, stop, [this] { return m_pageProcessed; });
+    m_pageProcessed = false;
 }
 
 void ClaimIo::pause(const std::stop_token &stop, TimePoint until)
--- a/src/vanilladyke/control/engine_controller.cpp
+++ b/src/vanilladyke/control/engine_controller.cpp
@@ -10,7 +10,7 @@
 
 /// An engine without a report for this long counts as dead. Reports come every 100 ms, so that many
 /// in a row must be missing, and a crash is detected before most first-token deadlines.
-constexpr Duration SilenceOfTheDead = std::chrono::milliseconds(1500);
+constexpr Duration UnresponsiveAfter = std::chrono::milliseconds(1500);
 
 bool holdsInService(const EngineHolding &holding, const WeightsInService &weights,
                     const ModelId &id)
@@ -39,41 +39,41 @@
 void EngineController::handle(const Event &event, TimePoint now)
 {
     if (const auto *report = std::get_if<EngineReported>(&event)) {
-        takeReport(*report, now);
+        applyReport(*report, now);
     } else if (const auto *lost = std::get_if<EngineUnreachable>(&event)) {
-        Known &known = m_known[lost->engine];
-        if (known.reachable) {
+        EngineRecord &record = m_records[lost->engine];
+        if (record.reachable) {
             LogEvent("engine_lost", Severity::Warning)
                     .field("engine", lost->engine.str())
                     .field("reason", lost->reason);
         }
-        known.reachable = false;
+        record.reachable = false;
     } else if (const auto *leaving = std::get_if<EngineLeaving>(&event)) {
-        Known &known = m_known[leaving->engine];
-        if (!known.leaving) {
+        EngineRecord &record = m_records[leaving->engine];
+        if (!record.leaving) {
             LogEvent("engine_leaving").field("engine", leaving->engine.str());
         }
-        known.leaving = true;
+        record.leaving = true;
     }
 }
 
-void EngineController::takeReport(const EngineReported &report, TimePoint now)
+void EngineController::applyReport(const EngineReported &report, TimePoint now)
 {
-    Known &known = m_known[report.engine];
-    const bool reborn = known.last.incarnation != report.incarnation;
-    if (!known.reachable || reborn) {
+    EngineRecord &record = m_records[report.engine];
+    const bool restarted = record.last.incarnation != report.incarnation;
+    if (!record.reachable || restarted) {
         LogEvent("engine_up")
                 .field("engine", report.engine.str())
                 .field("incarnation", static_cast<std::uint64_t>(report.incarnation));
     }
     // The update that an engine is leaving may arrive before its first report; it applies to the
     // incarnation of that report.
-    const bool firstHeard = known.heardAt == TimePoint();
-    known.leaving = known.leaving && (firstHeard || !reborn);
-    known.ages = agesAfter(reborn ? nullptr : known.ages, report.load);
-    known.last = report;
-    known.heardAt = now;
-    known.reachable = true;
+    const bool isFirstReport = record.lastSeenAt == TimePoint();
+    record.leaving = record.leaving && (isFirstReport || !restarted);
+    record.ages = agesAfter(restarted ? nullptr : record.ages, report.load);
+    record.last = report;
+    record.lastSeenAt = now;
+    record.reachable = true;
 }
 
 void EngineController::contribute(Fleet &fleet, TimePoint now)
@@ -100,11 +100,11 @@
     // A node that is ready before every engine was polled once would refuse its first requests. The
     // flag stays set when a later bundle adds engines: the load balancer must not withdraw the node
     // because of them.
-    m_allHeardOf =
-            m_allHeardOf
+    m_allPolled =
+            m_allPolled
             || std::all_of(bundle.engines.begin(), bundle.engines.end(),
-                           [&](const EngineEntry &entry) { return m_known.contains(entry.id); });
-    fleet.enginesKnown = m_allHeardOf;
+                           [&](const EngineEntry &entry) { return m_records.contains(entry.id); });
+    fleet.enginesKnown = m_allPolled;
     m_index = indexEngines(fleet.engines, m_index);
     fleet.index = m_index;
     fleet.bundle = inService(fleet.bundle);
@@ -115,14 +115,14 @@
 std::shared_ptr<const Bundle>
 EngineController::inService(const std::shared_ptr<const Bundle> &bundle)
 {
-    if (m_serving && m_wanted == bundle) {
+    if (m_serving && m_accepted == bundle) {
         return m_serving;
     }
     auto serving = std::make_shared<Bundle>(*bundle);
     for (Model &model : serving->models) {
         model.weights = m_weights.at(model.id);
     }
-    m_wanted = bundle;
+    m_accepted = bundle;
     m_serving = std::move(serving);
     return m_serving;
 }
@@ -130,16 +130,16 @@
 EngineHolding EngineController::holdingOf(const EngineEntry &entry, TimePoint now) const
 {
     EngineHolding holding;
-    const auto found = m_known.find(entry.id);
-    if (found == m_known.end()) {
+    const auto found = m_records.find(entry.id);
+    if (found == m_records.end()) {
         return holding;
     }
-    const Known &known = found->second;
-    holding.reachable = known.reachable && now - known.heardAt <= SilenceOfTheDead;
-    holding.leaving = known.leaving || entry.role == EngineRole::Draining;
-    holding.held = known.last.held;
-    holding.loading = known.last.loading;
-    holding.busy = known.last.load.running + known.last.load.waiting;
+    const EngineRecord &record = found->second;
+    holding.reachable = record.reachable && now - record.lastSeenAt <= UnresponsiveAfter;
+    holding.leaving = record.leaving || entry.role == EngineRole::Draining;
+    holding.held = record.last.held;
+    holding.loading = record.last.loading;
+    holding.busy = record.last.load.running + record.last.load.waiting;
     return holding;
 }
 
@@ -151,8 +151,8 @@
     view.endpoint = entry.endpoint;
     view.dataCentre = entry.dataCentre;
     view.slots = entry.slots;
-    const auto found = m_known.find(entry.id);
-    if (found == m_known.end()) {
+    const auto found = m_records.find(entry.id);
+    if (found == m_records.end()) {
         return view;
     }
     view.incarnation = found->second.last.incarnation;
--- a/src/vanilladyke/control/engine_poller.cpp
+++ b/src/vanilladyke/control/engine_poller.cpp
@@ -10,8 +10,8 @@
 namespace {
 
 /// Placement by older load reports costs more than the 10 small requests a second for each engine.
-constexpr Duration PollEvery = std::chrono::milliseconds(100);
-constexpr Duration AnswerWithin = std::chrono::milliseconds(700);
+constexpr Duration PollInterval = std::chrono::milliseconds(100);
+constexpr Duration AnswerTimeout = std::chrono::milliseconds(700);
 
 std::vector<HeldModel> parseModels(const nlohmann::json &list)
 {
@@ -92,7 +92,7 @@
     }
 }
 
-Event ask(httplib::Client &client, const EngineId &engine)
+Event requestState(httplib::Client &client, const EngineId &engine)
 {
     const httplib::Result answer = client.Get("/v1/state");
     if (!answer) {
@@ -140,7 +140,7 @@
                 });
             }
         }
-        pause(stop, MonotonicClock::now() + PollEvery);
+        pause(stop, MonotonicClock::now() + PollInterval);
     }
 }
 
@@ -149,11 +149,11 @@
     const auto owned = makeBackendClient(entry.endpoint, m_tls);
     httplib::Client &client = *owned;
     client.set_keep_alive(true);
-    client.set_connection_timeout(AnswerWithin);
-    client.set_read_timeout(AnswerWithin);
+    client.set_connection_timeout(AnswerTimeout);
+    client.set_read_timeout(AnswerTimeout);
     FeedPosition position;
     while (!stop.stop_requested()) {
-        Event state = ask(client, entry.id);
+        Event state = requestState(client, entry.id);
         const bool reached = std::holds_alternative<EngineReported>(state);
         m_inbox.post(std::move(state));
         if (reached) {
@@ -161,7 +161,7 @@
                 m_inbox.post(std::move(*page));
             }
         }
-        pause(stop, MonotonicClock::now() + PollEvery);
+        pause(stop, MonotonicClock::now() + PollInterval);
     }
 }
 
--- a/src/vanilladyke/control/events.cpp
+++ b/src/vanilladyke/control/events.cpp
@@ -2,7 +2,7 @@
 
 namespace vanilladyke {
 
-bool isSoft(const Event &event)
+bool isDroppable(const Event &event)
 {
     return std::holds_alternative<Tick>(event) || std::holds_alternative<EngineReported>(event)
            || std::holds_alternative<EngineUnreachable>(event)
--- a/src/vanilladyke/control/host_list_poller.cpp
+++ b/src/vanilladyke/control/host_list_poller.cpp
@@ -13,8 +13,8 @@
 namespace {
 
 /// A leaving backend server must get no new work later than two seconds after the list shows it.
-constexpr Duration PollEvery = std::chrono::milliseconds(500);
-constexpr Duration AnswerWithin = std::chrono::milliseconds(700);
+constexpr Duration PollInterval = std::chrono::milliseconds(500);
+constexpr Duration AnswerTimeout = std::chrono::milliseconds(700);
 
 } // namespace
 
@@ -51,8 +51,8 @@
     std::mutex mutex;
     std::condition_variable_any wake;
     while (!stop.stop_requested()) {
-        const auto hosts = m_client.read(MonotonicClock::now() + AnswerWithin);
-        TimePoint next = MonotonicClock::now() + PollEvery;
+        const auto hosts = m_client.read(MonotonicClock::now() + AnswerTimeout);
+        TimePoint next = MonotonicClock::now() + PollInterval;
         if (hosts) {
             backOff.succeeded();
             for (const EngineId &engine : newlyLeaving(*hosts, *m_fleet.current())) {
--- a/src/vanilladyke/control/inbox.cpp
+++ b/src/vanilladyke/control/inbox.cpp
@@ -35,7 +35,7 @@
 
 void Inbox::makeRoom()
 {
-    const auto oldest = std::find_if(m_events.begin(), m_events.end(), isSoft);
+    const auto oldest = std::find_if(m_events.begin(), m_events.end(), isDroppable);
     if (oldest != m_events.end()) {
         m_events.erase(oldest);
         ++m_dropped;
--- a/src/vanilladyke/control/membership_controller.cpp
+++ b/src/vanilladyke/control/membership_controller.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /// A fraction of Membership's own periods; a tick with nothing due is cheap.
-constexpr Duration TickEvery = std::chrono::milliseconds(100);
+constexpr Duration TickInterval = std::chrono::milliseconds(100);
 
 std::string_view nameOf(Phase phase)
 {
@@ -35,10 +35,10 @@
 
 void MembershipController::handle(const Event &event, TimePoint now)
 {
-    if (const auto *heard = std::get_if<PeerHeard>(&event)) {
-        send(m_membership.receive(heard->message, heard->route, now));
-        passOnLeaving();
-        noteLoad(heard->message, now);
+    if (const auto *received = std::get_if<PeerHeard>(&event)) {
+        send(m_membership.receive(received->message, received->route, now));
+        postLeavingEngines();
+        recordLoad(received->message, now);
     } else if (const auto *observed = std::get_if<LoadObserved>(&event)) {
         m_membership.setLoad(observed->load);
     } else if (const auto *leaving = std::get_if<EngineLeaving>(&event)) {
@@ -48,7 +48,7 @@
         m_leaving = true;
     }
     if (now >= m_nextTick) {
-        m_nextTick = now + TickEvery;
+        m_nextTick = now + TickInterval;
         send(m_membership.tick(now, m_random));
     }
     logChanges();
@@ -74,14 +74,14 @@
     }
 }
 
-void MembershipController::passOnLeaving()
+void MembershipController::postLeavingEngines()
 {
     for (const EngineId &engine : m_membership.takeLeaving()) {
         m_inbox.post(EngineLeaving{engine});
     }
 }
 
-void MembershipController::noteLoad(const PeerMessage &message, TimePoint now)
+void MembershipController::recordLoad(const PeerMessage &message, TimePoint now)
 {
     m_loads[message.from.node] = {message.from.node, now,
                                   std::make_shared<const NodeLoad>(message.load)};
--- a/src/vanilladyke/control/order_controller.cpp
+++ b/src/vanilladyke/control/order_controller.cpp
@@ -9,20 +9,20 @@
 
 namespace {
 
-constexpr Duration AnswerWithin = std::chrono::seconds(1);
+constexpr Duration AnswerTimeout = std::chrono::seconds(1);
 constexpr int Ok = 200;
 
 void logOutcome(const EngineOrder &order, const Outcome<HttpAnswer, HttpFailure> &answer)
 {
-    const bool taken = answer && answer->status == Ok;
-    LogEvent event("order", taken ? Severity::Info : Severity::Warning);
+    const bool accepted = answer && answer->status == Ok;
+    LogEvent event("order", accepted ? Severity::Info : Severity::Warning);
     event.field("engine", order.engine.str())
             .field("fencing", order.fencing)
             .field("sequence", order.sequence)
-            .field("taken", taken);
+            .field("taken", accepted);
     if (!answer) {
         event.field("reason", answer.error().detail);
-    } else if (!taken) {
+    } else if (!accepted) {
         event.field("status", answer->status).field("reason", answer->body);
     }
 }
@@ -74,7 +74,7 @@
         lock.unlock();
         HttpCaller engine(order.endpoint, m_tls);
         logOutcome(order, engine.post("/v1/orders", writeOrder(order), "application/json",
-                                      MonotonicClock::now() + AnswerWithin));
+                                      MonotonicClock::now() + AnswerTimeout));
     }
 }
 
@@ -95,9 +95,9 @@
             liveNodes.push_back(member.node);
         }
     }
-    const Bundle &wanted = m_engines.wanted();
+    const Bundle &accepted = m_engines.accepted();
     for (EngineOrder &order :
-         m_plan.due(wanted, fleet.bundleOffset, m_engines.holdings(), m_engines.changing(),
+         m_plan.due(accepted, fleet.bundleOffset, m_engines.holdings(), m_engines.changing(),
                     liveNodes, now, std::chrono::system_clock::now())) {
         m_sender.send(std::move(order));
     }
--- a/src/vanilladyke/control/snapshot_controller.cpp
+++ b/src/vanilladyke/control/snapshot_controller.cpp
@@ -9,18 +9,18 @@
 namespace {
 
 /// A piece is at most some 100 KB; its transfer between regions takes well under this.
-constexpr Duration AnswerWithin = std::chrono::milliseconds(800);
+constexpr Duration AnswerTimeout = std::chrono::milliseconds(800);
 /// After this time without a ready peer a starting node assumes that it is the first of the fleet.
-constexpr Duration LookForPeers = std::chrono::seconds(3);
+constexpr Duration PeerSearchTimeout = std::chrono::seconds(3);
 /// Interval at which peers are checked for a newer bundle; leaves the log time to deliver it first.
-constexpr Duration BundleCheckEvery = std::chrono::milliseconds(1000);
+constexpr Duration BundleCheckInterval = std::chrono::milliseconds(1000);
 
 std::string_view nameOf(SnapshotSection section)
 {
     return section == SnapshotSection::Bundle ? "bundle" : "cache_view";
 }
 
-bool canGive(const Member &member)
+bool canServeSnapshot(const Member &member)
 {
     return member.phase == Phase::Ready && member.liveness == Liveness::Alive;
 }
@@ -37,11 +37,11 @@
     if (m_startedAt == TimePoint::min()) {
         m_startedAt = now;
     }
-    if (const auto *heard = std::get_if<PeerHeard>(&event)) {
-        if (const auto *request = std::get_if<SnapshotRequest>(&heard->message.body)) {
-            answer(*request, heard->route);
-        } else if (const auto *piece = std::get_if<SnapshotPiece>(&heard->message.body)) {
-            take(*piece, heard->message.from, now);
+    if (const auto *received = std::get_if<PeerHeard>(&event)) {
+        if (const auto *request = std::get_if<SnapshotRequest>(&received->message.body)) {
+            answer(*request, received->route);
+        } else if (const auto *piece = std::get_if<SnapshotPiece>(&received->message.body)) {
+            applyPiece(*piece, received->message.from, now);
         }
     }
     advance(now);
@@ -69,18 +69,18 @@
     send(route, std::move(piece));
 }
 
-void SnapshotController::take(const SnapshotPiece &piece, const Member &from, TimePoint now)
+void SnapshotController::applyPiece(const SnapshotPiece &piece, const Member &from, TimePoint now)
 {
     // A late answer of a peer that timed out would mix the cursors of two peers and leave gaps.
-    const bool awaited = m_fetch && m_fetch->section == piece.section
-                         && m_fetch->cursor == piece.cursor && m_fetch->from.node == from.node;
-    if (!awaited) {
+    const bool isExpected = m_fetch && m_fetch->section == piece.section
+                            && m_fetch->cursor == piece.cursor && m_fetch->from.node == from.node;
+    if (!isExpected) {
         return;
     }
     storeOf(piece.section).read(piece);
     if (piece.nextCursor > piece.cursor) {
         m_fetch->cursor = piece.nextCursor;
-        ask(now);
+        sendRequest(now);
         return;
     }
     LogEvent("snapshot_taken")
@@ -92,15 +92,15 @@
     m_fetch.reset();
 }
 
-void SnapshotController::begin(SnapshotSection section, const Member &from, TimePoint now)
+void SnapshotController::startFetch(SnapshotSection section, const Member &from, TimePoint now)
 {
     m_fetch = Fetch{section, 0, from, now};
-    ask(now);
+    sendRequest(now);
 }
 
-void SnapshotController::ask(TimePoint now)
+void SnapshotController::sendRequest(TimePoint now)
 {
-    m_fetch->deadline = now + AnswerWithin;
+    m_fetch->deadline = now + AnswerTimeout;
     send(m_fetch->from.peers, SnapshotRequest{m_fetch->section, m_fetch->cursor});
 }
 
@@ -121,16 +121,16 @@
     }
     if (m_next < SectionCount) {
         if (const Member *peer = nearestReady()) {
-            begin(static_cast<SnapshotSection>(m_next), *peer, now);
-        } else if (now - m_startedAt > LookForPeers) {
+            startFetch(static_cast<SnapshotSection>(m_next), *peer, now);
+        } else if (now - m_startedAt > PeerSearchTimeout) {
             m_next = SectionCount;
         }
         return;
     }
     if (now >= m_nextBundleCheck) {
-        m_nextBundleCheck = now + BundleCheckEvery;
+        m_nextBundleCheck = now + BundleCheckInterval;
         if (const Member *peer = peerWithNewerBundle()) {
-            begin(SnapshotSection::Bundle, *peer, now);
+            startFetch(SnapshotSection::Bundle, *peer, now);
         }
     }
 }
@@ -142,11 +142,11 @@
         const Member &member = m_members[i];
         const bool failed =
                 std::find(m_failed.begin(), m_failed.end(), member.node) != m_failed.end();
-        if (failed || !canGive(member)) {
+        if (failed || !canServeSnapshot(member)) {
             continue;
         }
-        const bool near = member.dataCentre == m_members.front().dataCentre;
-        if (best == nullptr || (near && best->dataCentre != m_members.front().dataCentre)) {
+        const bool isNear = member.dataCentre == m_members.front().dataCentre;
+        if (best == nullptr || (isNear && best->dataCentre != m_members.front().dataCentre)) {
             best = &member;
         }
     }
@@ -156,7 +156,7 @@
 const Member *SnapshotController::peerWithNewerBundle() const
 {
     const auto found = std::find_if(m_members.begin(), m_members.end(), [&](const Member &member) {
-        return canGive(member) && member.bundleVersion > m_members.front().bundleVersion;
+        return canServeSnapshot(member) && member.bundleVersion > m_members.front().bundleVersion;
     });
     return found == m_members.end() ? nullptr : &*found;
 }
--- a/src/vanilladyke/control/snapshot_controller_test.cpp
+++ b/src/vanilladyke/control/snapshot_controller_test.cpp
@@ -27,7 +27,7 @@
         controller.handle(Tick{}, now);
     }
 
-    void hear(const Member &from, const SnapshotPiece &piece)
+    void receive(const Member &from, const SnapshotPiece &piece)
     {
         controller.handle(PeerHeard{{from, {}, {}, piece}, {}}, now);
     }
@@ -41,7 +41,7 @@
     [[nodiscard]] const Endpoint &lastAsked() const { return std::get<Endpoint>(sent.back().to); }
 
     std::vector<Outgoing> sent;
-    std::vector<std::string> taken;
+    std::vector<std::string> merged;
     Fleet fleet;
     TimePoint now{std::chrono::seconds(100)};
     SnapshotController controller{
@@ -49,7 +49,7 @@
                      [](std::uint64_t) {
                          return SnapshotPiece{{}, 0, 0, {"bundle"}};
                      },
-                     [this](const SnapshotPiece &piece) { taken.push_back(piece.items.at(0)); }},
+                     [this](const SnapshotPiece &piece) { merged.push_back(piece.items.at(0)); }},
              {}},
             [this](Outgoing outgoing) { sent.push_back(std::move(outgoing)); },
     };
@@ -64,13 +64,13 @@
     StartingNode node({selfNode, farNode, nearNode});
     ASSERT_EQ(node.sent.size(), 1U);
     EXPECT_EQ(node.lastAsked(), nearNode.peers);
-    node.hear(nearNode, {SnapshotSection::Bundle, 0, 5, {"first"}});
+    node.receive(nearNode, {SnapshotSection::Bundle, 0, 5, {"first"}});
     ASSERT_EQ(node.sent.size(), 2U);
     EXPECT_EQ(std::get<SnapshotRequest>(node.sent.back().message.body).cursor, 5U);
-    node.hear(nearNode, {SnapshotSection::Bundle, 5, 0, {"second"}});
+    node.receive(nearNode, {SnapshotSection::Bundle, 5, 0, {"second"}});
     node.wait(milliseconds(1));
-    EXPECT_EQ(node.taken, (std::vector<std::string>{"first", "second"}));
-    EXPECT_TRUE(node.controller.warm());
+    EXPECT_EQ(node.merged, (std::vector<std::string>{"first", "second"}));
+    EXPECT_TRUE(node.controller.isComplete());
 }
 
 // Guards against waiting for a peer that does not answer, which would leave the cache view empty,
@@ -80,10 +80,10 @@
     StartingNode node({selfNode, farNode, nearNode});
     node.wait(milliseconds(900));
     EXPECT_EQ(node.lastAsked(), farNode.peers);
-    node.hear(nearNode, {SnapshotSection::Bundle, 0, 0, {"late"}});
-    EXPECT_TRUE(node.taken.empty());
-    node.hear(farNode, {SnapshotSection::Bundle, 0, 0, {"good"}});
-    EXPECT_EQ(node.taken, std::vector<std::string>{"good"});
+    node.receive(nearNode, {SnapshotSection::Bundle, 0, 0, {"late"}});
+    EXPECT_TRUE(node.merged.empty());
+    node.receive(farNode, {SnapshotSection::Bundle, 0, 0, {"good"}});
+    EXPECT_EQ(node.merged, std::vector<std::string>{"good"});
 }
 
 // Guards against waiting for a ready peer without limit: when all hosts are replaced at once there
@@ -92,7 +92,7 @@
 {
     StartingNode node({selfNode});
     node.wait(std::chrono::seconds(4));
-    EXPECT_TRUE(node.controller.warm());
+    EXPECT_TRUE(node.controller.isComplete());
     EXPECT_TRUE(node.sent.empty());
 }
 
@@ -109,8 +109,8 @@
     node.wait(milliseconds(1100));
     ASSERT_EQ(node.sent.size(), 1U);
     EXPECT_EQ(node.lastAsked(), newer.peers);
-    node.hear(newer, {SnapshotSection::Bundle, 0, 0, {"version 9"}});
-    EXPECT_EQ(node.taken, std::vector<std::string>{"version 9"});
+    node.receive(newer, {SnapshotSection::Bundle, 0, 0, {"version 9"}});
+    EXPECT_EQ(node.merged, std::vector<std::string>{"version 9"});
 }
 
 TEST(SnapshotController, AnswersARequestOnItsReplyRoute)
--- a/src/vanilladyke/control/snapshot_stores.cpp
+++ b/src/vanilladyke/control/snapshot_stores.cpp
@@ -23,7 +23,7 @@
     const TimePoint now = MonotonicClock::now();
     for (const std::string &item : piece.items) {
         if (const auto entry = decodeCacheEntry(item)) {
-            controller.takeOver(*entry, now);
+            controller.mergeEntry(*entry, now);
         }
     }
 }
--- a/src/vanilladyke/control/snapshot_stores_test.cpp
+++ b/src/vanilladyke/control/snapshot_stores_test.cpp
@@ -30,8 +30,8 @@
     Node warm;
     const EngineKey engine = engineKeyOf(EngineId("copy-1"));
     for (std::uint64_t i = 0; i < Prefixes; ++i) {
-        warm.controller.takeOver({engine, Incarnation{3}, chainOf(i)[0].hash, {}},
-                                 MonotonicClock::now());
+        warm.controller.mergeEntry({engine, Incarnation{3}, chainOf(i)[0].hash, {}},
+                                   MonotonicClock::now());
     }
     Node cold;
     std::uint64_t cursor = 0;
@@ -56,8 +56,8 @@
     Node node;
     const EngineKey engine = engineKeyOf(EngineId("copy-1"));
     const TimePoint now = MonotonicClock::now();
-    node.controller.takeOver({engine, Incarnation{4}, chainOf(1)[0].hash, {}}, now);
-    node.controller.takeOver({engine, Incarnation{3}, chainOf(2)[0].hash, {}}, now);
+    node.controller.mergeEntry({engine, Incarnation{4}, chainOf(1)[0].hash, {}}, now);
+    node.controller.mergeEntry({engine, Incarnation{3}, chainOf(2)[0].hash, {}}, now);
     EXPECT_EQ(node.view.holders(chainOf(1), now).size(), 1U);
     EXPECT_TRUE(node.view.holders(chainOf(2), now).empty());
 }
