--- a/include/vanilladyke/control/bundle_controller.hpp
+++ b/include/vanilladyke/control/bundle_controller.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "vanilladyke/control/bundle_board.hpp"
+#include "vanilladyke/control/bundle_status_store.hpp"
 #include "vanilladyke/control/events.hpp"
 #include "vanilladyke/control/fleet_store.hpp"
 #include "vanilladyke/policy/bundle_fold.hpp"
@@ -24,7 +24,7 @@
 class BundleController
 {
 public:
-    BundleController(BundleControl control, BundleBoard &board, const FleetStore &fleet);
+    BundleController(BundleControl control, BundleStatusStore &board, const FleetStore &fleet);
 
     void handle(const Event &event, TimePoint now);
     void contribute(Fleet &fleet, TimePoint now) const;
@@ -44,7 +44,7 @@
     void publishStatus();
 
     BundleControl m_control;
-    BundleBoard &m_board;
+    BundleStatusStore &m_board;
     const FleetStore &m_fleet;
     BundleFold m_fold;
     std::shared_ptr<const Bundle> m_bundle;
--- a/include/vanilladyke/control/bundle_board.hpp
+++ b/include/vanilladyke/control/bundle_status_store.hpp
@@ -24,7 +24,7 @@
 
 /// @brief Shares the bundle status between the control thread, which writes it, and the threads
 /// that serve operators. A publisher waits here for the verdict on its record. Thread-safe.
-class BundleBoard
+class BundleStatusStore
 {
 public:
     [[nodiscard]] BundleStatus status() const;
--- a/include/vanilladyke/operators/operator_server.hpp
+++ b/include/vanilladyke/operators/operator_server.hpp
@@ -32,7 +32,7 @@
     std::vector<OperatorKey> keys;
     PublishSettings publishing;
     const FleetStore &fleet;
-    const BundleBoard &board;
+    const BundleStatusStore &board;
     const Metrics &metrics;
     std::function<std::string()> stateDump; ///< JSON; may be empty
 };
--- a/include/vanilladyke/operators/publisher.hpp
+++ b/include/vanilladyke/operators/publisher.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "vanilladyke/control/bundle_board.hpp"
+#include "vanilladyke/control/bundle_status_store.hpp"
 #include "vanilladyke/model/bundle_json.hpp"
 #include "vanilladyke/model/ids.hpp"
 
@@ -43,6 +43,6 @@
 /// @brief Checks the signed bundle, appends it and waits for the verdict of the log.
 /// @param body the signed bundle as `bundle sign` writes it
 [[nodiscard]] PublishResult publishBundle(const std::string &body, const PublishSettings &settings,
-                                          const BundleBoard &board, TimePoint deadline);
+                                          const BundleStatusStore &board, TimePoint deadline);
 
 } // namespace vanilladyke
--- a/src/vanilladyke/app/bundle_setup.cpp
+++ b/src/vanilladyke/app/bundle_setup.cpp
@@ -38,7 +38,7 @@
 }
 
 OperatorContext operatorContext(const HostSettings &settings, const FleetStore &fleet,
-                                const BundleBoard &board, const Metrics &metrics)
+                                const BundleStatusStore &board, const Metrics &metrics)
 {
     PublishSettings publishing;
     publishing.trusted = settings.trusted;
--- a/src/vanilladyke/app/bundle_setup.hpp
+++ b/src/vanilladyke/app/bundle_setup.hpp
@@ -28,6 +28,7 @@
 [[nodiscard]] BundleControl bundleControl(const HostSettings &settings, BundleLog &log);
 
 [[nodiscard]] OperatorContext operatorContext(const HostSettings &settings, const FleetStore &fleet,
-                                              const BundleBoard &board, const Metrics &metrics);
+                                              const BundleStatusStore &board,
+                                              const Metrics &metrics);
 
 } // namespace vanilladyke
--- a/src/vanilladyke/app/node.hpp
+++ b/src/vanilladyke/app/node.hpp
@@ -58,7 +58,7 @@
     Metrics m_metrics;
     FleetStore m_fleet;
     Inbox m_inbox;
-    BundleBoard m_board;
+    BundleStatusStore m_board;
     SharedCacheView m_cacheView;
     ClaimIo m_claimIo;
     ClaimDesk m_claimDesk;
--- a/src/vanilladyke/control/bundle_controller.cpp
+++ b/src/vanilladyke/control/bundle_controller.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-BundleController::BundleController(BundleControl control, BundleBoard &board,
+BundleController::BundleController(BundleControl control, BundleStatusStore &board,
                                    const FleetStore &fleet)
     : m_control(std::move(control))
     , m_board(board)
--- a/src/vanilladyke/control/bundle_snapshot_test.cpp
+++ b/src/vanilladyke/control/bundle_snapshot_test.cpp
@@ -46,7 +46,7 @@
     }
 
     FleetStore fleet;
-    BundleBoard board;
+    BundleStatusStore board;
     BundleController bundles;
     BundleSnapshot snapshot{bundles};
 };
--- a/src/vanilladyke/control/bundle_board.cpp
+++ b/src/vanilladyke/control/bundle_status_store.cpp
@@ -1,4 +1,4 @@
-#include "vanilladyke/control/bundle_board.hpp"
+#include "vanilladyke/control/bundle_status_store.hpp"
 
 #include <algorithm>
 
@@ -11,14 +11,15 @@
 
 } // namespace
 
-BundleStatus BundleBoard::status() const
+BundleStatus BundleStatusStore::status() const
 {
     const std::lock_guard lock(m_mutex);
     return m_status;
 }
 
-std::optional<FoldNote> BundleBoard::verdict(const std::string &nonce, const std::string &digest,
-                                             TimePoint deadline) const
+std::optional<FoldNote> BundleStatusStore::verdict(const std::string &nonce,
+                                                   const std::string &digest,
+                                                   TimePoint deadline) const
 {
     std::unique_lock lock(m_mutex);
     std::optional<FoldNote> found;
@@ -29,8 +30,8 @@
     return found;
 }
 
-std::optional<FoldNote> BundleBoard::findVerdict(const std::string &nonce,
-                                                 const std::string &digest) const
+std::optional<FoldNote> BundleStatusStore::findVerdict(const std::string &nonce,
+                                                       const std::string &digest) const
 {
     const auto note = std::find_if(m_notes.rbegin(), m_notes.rend(), [&](const FoldNote &each) {
         return each.nonce == nonce && each.verdict != FoldVerdict::Waiting;
@@ -49,7 +50,7 @@
     return std::nullopt;
 }
 
-void BundleBoard::setStatus(BundleStatus status)
+void BundleStatusStore::setStatus(BundleStatus status)
 {
     {
         const std::lock_guard lock(m_mutex);
@@ -58,7 +59,7 @@
     m_changed.notify_all();
 }
 
-void BundleBoard::addNote(FoldNote note)
+void BundleStatusStore::addNote(FoldNote note)
 {
     {
         const std::lock_guard lock(m_mutex);
--- a/src/vanilladyke/operators/publisher.cpp
+++ b/src/vanilladyke/operators/publisher.cpp
@@ -95,7 +95,7 @@
 }
 
 PublishResult publishBundle(const std::string &body, const PublishSettings &settings,
-                            const BundleBoard &board, TimePoint deadline)
+                            const BundleStatusStore &board, TimePoint deadline)
 {
     PublishResult result;
     const BundleStatus status = board.status();
