--- a/include/vanilladyke/control/claim_desk.hpp
+++ b/include/vanilladyke/control/claim_client.hpp
@@ -38,10 +38,10 @@
 using ClaimAnswer = std::variant<ClaimPermit, ClaimOutcome, Refusal>;
 
 /// @brief Passes claims from traffic threads to the control thread. Thread-safe.
-class ClaimDesk
+class ClaimClient
 {
 public:
-    explicit ClaimDesk(Inbox &inbox)
+    explicit ClaimClient(Inbox &inbox)
         : m_inbox(inbox)
     {}
 
--- a/include/vanilladyke/gateway/caller_server.hpp
+++ b/include/vanilladyke/gateway/caller_server.hpp
@@ -11,7 +11,7 @@
 
 namespace vanilladyke {
 
-class ClaimDesk;
+class ClaimClient;
 
 /// @brief What a caller server takes from the host's settings.
 struct CallerServerOptions
@@ -20,7 +20,7 @@
     std::string privateKey;  ///< PEM file that belongs to the certificate
     BackendTls backends;
     std::string streamKey; ///< 64 hexadecimal digits, the same on all nodes; empty: one of its own
-    ClaimDesk *claims = nullptr; ///< null if this node has no log
+    ClaimClient *claims = nullptr; ///< null if this node has no log
 };
 
 /// @brief Serves callers over HTTP: completions, streamed or whole, and plain services.
--- a/src/vanilladyke/app/node.cpp
+++ b/src/vanilladyke/app/node.cpp
@@ -35,7 +35,7 @@
     : m_settings(settings)
     , m_inbox(InboxCapacity)
     , m_cacheView(CacheViewBytes)
-    , m_claimDesk(m_inbox)
+    , m_claimClient(m_inbox)
     , m_bundleLog(settings.platform, m_inbox)
     , m_transport(peerKeys,
                   [this](PeerMessage message, ReplyRoute route) {
@@ -127,7 +127,7 @@
 {
     return {m_settings.callersTls.certificate, m_settings.callersTls.privateKey,
             m_settings.backendsTls, m_settings.streamKey,
-            m_settings.platform ? &m_claimDesk : nullptr};
+            m_settings.platform ? &m_claimClient : nullptr};
 }
 
 } // namespace vanilladyke
--- a/src/vanilladyke/app/node.hpp
+++ b/src/vanilladyke/app/node.hpp
@@ -6,8 +6,8 @@
 #include "vanilladyke/control/bundle_controller.hpp"
 #include "vanilladyke/control/bundle_snapshot.hpp"
 #include "vanilladyke/control/cache_controller.hpp"
+#include "vanilladyke/control/claim_client.hpp"
 #include "vanilladyke/control/claim_controller.hpp"
-#include "vanilladyke/control/claim_desk.hpp"
 #include "vanilladyke/control/claim_io.hpp"
 #include "vanilladyke/control/control_thread.hpp"
 #include "vanilladyke/control/engine_controller.hpp"
@@ -61,7 +61,7 @@
     BundleStatusStore m_board;
     SharedCacheView m_cacheView;
     ClaimIo m_claimIo;
-    ClaimDesk m_claimDesk;
+    ClaimClient m_claimClient;
     BundleLog m_bundleLog;
     PeerTransport m_transport;
     OrderSender m_orderSender;
--- a/src/vanilladyke/control/claim_desk.cpp
+++ b/src/vanilladyke/control/claim_client.cpp
@@ -1,4 +1,4 @@
-#include "vanilladyke/control/claim_desk.hpp"
+#include "vanilladyke/control/claim_client.hpp"
 
 namespace vanilladyke {
 
@@ -47,7 +47,7 @@
     }
 }
 
-ClaimAnswer ClaimDesk::ask(ClaimRequest request)
+ClaimAnswer ClaimClient::ask(ClaimRequest request)
 {
     request.ticket = ClaimTicket{++m_tickets};
     auto wait = std::make_shared<ClaimWait>();
--- a/src/vanilladyke/gateway/service_handler.hpp
+++ b/src/vanilladyke/gateway/service_handler.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "vanilladyke/base/metrics.hpp"
-#include "vanilladyke/control/claim_desk.hpp"
+#include "vanilladyke/control/claim_client.hpp"
 #include "vanilladyke/gateway/filters.hpp"
 #include "vanilladyke/gateway/service_exchange.hpp"
 #include "vanilladyke/gateway/traffic_control.hpp"
@@ -26,7 +26,7 @@
 {
 public:
     /// @param claims null if this node has no log; calls that may not be repeated are then refused
-    ServiceHandler(Metrics &metrics, BackendTls tls, ClaimDesk *claims)
+    ServiceHandler(Metrics &metrics, BackendTls tls, ClaimClient *claims)
         : m_metrics(metrics)
         , m_tls(std::move(tls))
         , m_claims(claims)
@@ -51,7 +51,7 @@
 
     Metrics &m_metrics;
     const BackendTls m_tls;
-    ClaimDesk *m_claims;
+    ClaimClient *m_claims;
     SharedRetryBudgets m_retries;
     FilterChain<IdentifyCustomer, SetServiceDeadline> m_chain;
 };
