--- a/include/vanilladyke/control/events.hpp
+++ b/include/vanilladyke/control/events.hpp
@@ -91,7 +91,7 @@
 };
 
 /// @brief A message was received from a peer.
-struct PeerHeard
+struct PeerMessageReceived
 {
     PeerMessage message;
     ReplyRoute route;
@@ -104,8 +104,8 @@
 };
 
 using Event = std::variant<Tick, BundleLogRead, BundleLogDown, EngineReported, EngineUnreachable,
-                           EngineLeaving, StopRequested, PeerHeard, CacheEventsRead, PrefixSent,
-                           LoadObserved, ClaimEvent>;
+                           EngineLeaving, StopRequested, PeerMessageReceived, CacheEventsRead,
+                           PrefixSent, LoadObserved, ClaimEvent>;
 
 /// @brief Whether the event may be dropped when the inbox is full, since a later one replaces it.
 [[nodiscard]] bool isDroppable(const Event &event);
--- a/src/vanilladyke/app/node.cpp
+++ b/src/vanilladyke/app/node.cpp
@@ -39,7 +39,7 @@
     , m_bundleLog(settings.platform, m_inbox)
     , m_transport(peerKeys,
                   [this](PeerMessage message, ReplyRoute route) {
-                      m_inbox.post(PeerHeard{std::move(message), std::move(route)});
+                      m_inbox.post(PeerMessageReceived{std::move(message), std::move(route)});
                   })
     , m_orderSender(settings.backendsTls)
     , m_bundles(bundleControl(settings, m_bundleLog), m_board, m_fleet)
--- a/src/vanilladyke/control/membership_controller.cpp
+++ b/src/vanilladyke/control/membership_controller.cpp
@@ -35,7 +35,7 @@
 
 void MembershipController::handle(const Event &event, TimePoint now)
 {
-    if (const auto *received = std::get_if<PeerHeard>(&event)) {
+    if (const auto *received = std::get_if<PeerMessageReceived>(&event)) {
         send(m_membership.receive(received->message, received->route, now));
         postLeavingEngines();
         recordLoad(received->message, now);
--- a/src/vanilladyke/control/snapshot_controller.cpp
+++ b/src/vanilladyke/control/snapshot_controller.cpp
@@ -37,7 +37,7 @@
     if (m_startedAt == TimePoint::min()) {
         m_startedAt = now;
     }
-    if (const auto *received = std::get_if<PeerHeard>(&event)) {
+    if (const auto *received = std::get_if<PeerMessageReceived>(&event)) {
         if (const auto *request = std::get_if<SnapshotRequest>(&received->message.body)) {
             answer(*request, received->route);
         } else if (const auto *piece = std::get_if<SnapshotPiece>(&received->message.body)) {
--- a/src/vanilladyke/control/snapshot_controller_test.cpp
+++ b/src/vanilladyke/control/snapshot_controller_test.cpp
@@ -29,7 +29,7 @@
 
     void receive(const Member &from, const SnapshotPiece &piece)
     {
-        controller.handle(PeerHeard{{from, {}, {}, piece}, {}}, now);
+        controller.handle(PeerMessageReceived{{from, {}, {}, piece}, {}}, now);
     }
 
     void wait(Duration span)
@@ -117,7 +117,8 @@
 {
     StartingNode node({selfNode});
     node.controller.handle(
-            PeerHeard{{nearNode, {}, {}, SnapshotRequest{SnapshotSection::Bundle, 0}}, {"r"}},
+            PeerMessageReceived{{nearNode, {}, {}, SnapshotRequest{SnapshotSection::Bundle, 0}},
+                                {"r"}},
             node.now);
     ASSERT_EQ(node.sent.size(), 1U);
     EXPECT_EQ(std::get<ReplyRoute>(node.sent[0].to).identity, "r");
