--- a/include/vanilladyke/control/bundle_status_store.hpp
+++ b/include/vanilladyke/control/bundle_status_store.hpp
@@ -19,7 +19,7 @@
     std::vector<HistoryEntry> history;
     bool logReachable = false;
     bool logComplete = true; ///< false while records are missing and no checkpoint replaces them
-    std::string logTrouble;  ///< why the log can't be read or no bundle is accepted from it
+    std::string logError;    ///< why the log can't be read or no bundle is accepted from it
 };
 
 /// @brief Shares the bundle status between the control thread, which writes it, and the threads
--- a/src/vanilladyke/control/bundle_controller.cpp
+++ b/src/vanilladyke/control/bundle_controller.cpp
@@ -188,9 +188,9 @@
     status.history = history();
     status.logReachable = m_logReachable;
     status.logComplete = m_fold.unbroken();
-    status.logTrouble = m_logError;
+    status.logError = m_logError;
     if (m_logReachable && !m_fold.unbroken()) {
-        status.logTrouble =
+        status.logError =
                 "log records were dropped before they were read; waiting for a checkpoint";
     }
     m_board.setStatus(std::move(status));
--- a/src/vanilladyke/operators/operator_server.cpp
+++ b/src/vanilladyke/operators/operator_server.cpp
@@ -72,7 +72,7 @@
         return fleet.enginesKnown ? "" : "not every engine has been asked yet";
     }
     return "no bundle has been accepted yet"
-           + (status.logTrouble.empty() ? std::string() : ": " + status.logTrouble);
+           + (status.logError.empty() ? std::string() : ": " + status.logError);
 }
 
 struct OperatorServer::Private
@@ -156,7 +156,7 @@
             {"version", fleet->bundle ? fleet->bundle->version : 0},
             {"digest", bundles.accepted ? bundles.accepted->entry.digest : ""},
             {"log_reachable", bundles.logReachable},
-            {"log_trouble", bundles.logTrouble},
+            {"log_trouble", bundles.logError},
             {"nodes", std::move(nodes)}};
 }
 
