--- a/include/vanilladyke/control/bundle_controller.hpp
+++ b/include/vanilladyke/control/bundle_controller.hpp
@@ -24,7 +24,8 @@
 class BundleController
 {
 public:
-    BundleController(BundleControl control, BundleStatusStore &board, const FleetStore &fleet);
+    BundleController(BundleControl control, BundleStatusStore &statusStore,
+                     const FleetStore &fleet);
 
     void handle(const Event &event, TimePoint now);
     void contribute(Fleet &fleet, TimePoint now) const;
@@ -44,7 +45,7 @@
     void publishStatus();
 
     BundleControl m_control;
-    BundleStatusStore &m_board;
+    BundleStatusStore &m_statusStore;
     const FleetStore &m_fleet;
     BundleFold m_fold;
     std::shared_ptr<const Bundle> m_bundle;
--- a/include/vanilladyke/control/claim_io.hpp
+++ b/include/vanilladyke/control/claim_io.hpp
@@ -24,7 +24,7 @@
 };
 
 /// @brief Decodes a page of the log. A malformed record is logged and becomes an empty batch.
-[[nodiscard]] ClaimPage decodePage(const LogPage &page, TimePoint askedAt);
+[[nodiscard]] ClaimPage decodePage(const LogPage &page, TimePoint requestedAt);
 
 /// @brief Converts the answer to an append into an event; logs a failure.
 [[nodiscard]] ClaimsAppended resultOf(const Outcome<LogOffset, LogFailure> &answer);
@@ -138,9 +138,9 @@
         while (!stop.stop_requested()) {
             const ClaimProgress progress = m_io.progress();
             from = std::max(from, progress.nextOffset);
-            const TimePoint askedAt = MonotonicClock::now();
+            const TimePoint requestedAt = MonotonicClock::now();
             const auto page = m_reads.read(
-                    from, askedAt + (progress.needsRead ? UrgentReadTimeout : ReadTimeout));
+                    from, requestedAt + (progress.needsRead ? UrgentReadTimeout : ReadTimeout));
             if (!page) {
                 m_metrics.count("claim_read_failures_total");
                 m_io.pause(stop, MonotonicClock::now() + PauseAfterFailure);
@@ -150,7 +150,7 @@
             from = wasTruncated            ? page->firstOffset
                    : page->records.empty() ? from
                                            : page->records.back().offset + 1;
-            m_inbox.post(ClaimEvent(ClaimsRead{decodePage(*page, askedAt)}));
+            m_inbox.post(ClaimEvent(ClaimsRead{decodePage(*page, requestedAt)}));
             m_io.awaitPageProcessed(stop);
         }
     }
--- a/src/vanilladyke/control/bundle_controller.cpp
+++ b/src/vanilladyke/control/bundle_controller.cpp
@@ -17,10 +17,10 @@
 
 } // namespace
 
-BundleController::BundleController(BundleControl control, BundleStatusStore &board,
+BundleController::BundleController(BundleControl control, BundleStatusStore &statusStore,
                                    const FleetStore &fleet)
     : m_control(std::move(control))
-    , m_board(board)
+    , m_statusStore(statusStore)
     , m_fleet(fleet)
     , m_fold(m_control.trusted)
 {
@@ -72,7 +72,7 @@
         publishStatus();
     }
     for (const FoldNote &note : notes) {
-        m_board.addNote(note);
+        m_statusStore.addNote(note);
     }
 }
 
@@ -193,7 +193,7 @@
         status.logError =
                 "log records were dropped before they were read; waiting for a checkpoint";
     }
-    m_board.setStatus(std::move(status));
+    m_statusStore.setStatus(std::move(status));
 }
 
 } // namespace vanilladyke
--- a/src/vanilladyke/control/bundle_snapshot_test.cpp
+++ b/src/vanilladyke/control/bundle_snapshot_test.cpp
@@ -17,7 +17,7 @@
 struct Node
 {
     Node()
-        : bundles(control(), board, fleet)
+        : bundles(control(), statusStore, fleet)
     {}
 
     static BundleControl control()
@@ -46,7 +46,7 @@
     }
 
     FleetStore fleet;
-    BundleStatusStore board;
+    BundleStatusStore statusStore;
     BundleController bundles;
     BundleSnapshot snapshot{bundles};
 };
@@ -82,7 +82,7 @@
     Node started;
     transferBundle(peer, started);
     EXPECT_EQ(started.version(), 1U);
-    EXPECT_EQ(started.board.status().history, peer.board.status().history);
+    EXPECT_EQ(started.statusStore.status().history, peer.statusStore.status().history);
     EXPECT_EQ(started.bundles.peerRecord(), peer.bundles.peerRecord());
 }
 
--- a/src/vanilladyke/control/claim_io.cpp
+++ b/src/vanilladyke/control/claim_io.cpp
@@ -2,9 +2,9 @@
 
 namespace vanilladyke {
 
-ClaimPage decodePage(const LogPage &page, TimePoint askedAt)
+ClaimPage decodePage(const LogPage &page, TimePoint requestedAt)
 {
-    ClaimPage claims{askedAt, page.firstOffset, page.nextOffset, {}};
+    ClaimPage claims{requestedAt, page.firstOffset, page.nextOffset, {}};
     for (const LogRecord &record : page.records) {
         auto batch = decodeClaims(record.data);
         if (!batch) {
