--- a/include/vanilladyke/control/claim_client.hpp
+++ b/include/vanilladyke/control/claim_client.hpp
@@ -47,7 +47,7 @@
 
     /// @brief Blocks until the call may be sent, has an earlier outcome, or is refused.
     /// @param request its ticket is assigned here
-    [[nodiscard]] ClaimAnswer ask(ClaimRequest request);
+    [[nodiscard]] ClaimAnswer requestPermit(ClaimRequest request);
 
 private:
     Inbox &m_inbox;
--- a/src/vanilladyke/control/claim_client.cpp
+++ b/src/vanilladyke/control/claim_client.cpp
@@ -47,7 +47,7 @@
     }
 }
 
-ClaimAnswer ClaimClient::ask(ClaimRequest request)
+ClaimAnswer ClaimClient::requestPermit(ClaimRequest request)
 {
     request.ticket = ClaimTicket{++m_tickets};
     auto wait = std::make_shared<ClaimWait>();
--- a/src/vanilladyke/gateway/service_handler.cpp
+++ b/src/vanilladyke/gateway/service_handler.cpp
@@ -101,7 +101,7 @@
     request.deadline = context.firstTokenDeadline;
     request.repeat = call.repeat;
     const TimePoint asked = MonotonicClock::now();
-    ClaimAnswer answer = m_claims->ask(request);
+    ClaimAnswer answer = m_claims->requestPermit(request);
     m_metrics.observe("claim_seconds", MonotonicClock::now() - asked);
     return answer;
 }
