--- a/include/vanilladyke/control/claim_client.hpp
+++ b/include/vanilladyke/control/claim_client.hpp
@@ -22,7 +22,8 @@
     ~ClaimPermit();
 
     /// @brief Records the answer of the call; of a too large one only that it was too large.
-    void answered(std::uint32_t status, const std::string &contentType, const std::string &body);
+    void recordAnswer(std::uint32_t status, const std::string &contentType,
+                      const std::string &body);
     /// @brief Frees the key: the call was not sent and will not be.
     void release();
 
--- a/src/vanilladyke/control/claim_client.cpp
+++ b/src/vanilladyke/control/claim_client.cpp
@@ -27,8 +27,8 @@
     settle(ClaimOutcome{m_key, m_nonce, OutcomeKind::Unknown, 0, {}, {}});
 }
 
-void ClaimPermit::answered(std::uint32_t status, const std::string &contentType,
-                           const std::string &body)
+void ClaimPermit::recordAnswer(std::uint32_t status, const std::string &contentType,
+                               const std::string &body)
 {
     const bool fits = body.size() <= MostAnswerBytes;
     settle(ClaimOutcome{m_key, m_nonce, fits ? OutcomeKind::Answered : OutcomeKind::AnswerTooLarge,
--- a/src/vanilladyke/gateway/service_handler.cpp
+++ b/src/vanilladyke/gateway/service_handler.cpp
@@ -146,8 +146,8 @@
         auto outcome = sendOnce(call, backend, m_tls, deadline);
         logTry(call, backend, outcome);
         if (outcome) {
-            permit.answered(static_cast<std::uint32_t>(outcome->status), outcome->contentType,
-                            outcome->body);
+            permit.recordAnswer(static_cast<std::uint32_t>(outcome->status), outcome->contentType,
+                                outcome->body);
             return std::move(*outcome);
         }
         state.apply(eventOf(outcome.error().error));
