--- a/src/vanilladyke/control/cache_controller.cpp
+++ b/src/vanilladyke/control/cache_controller.cpp
@@ -31,7 +31,8 @@
     m_view.setIncarnation(engine, incarnation, now);
 }
 
-/// Pages of another incarnation are ignored. A gap in the sequence numbers may hide an eviction, so
+/// A page may be read twice or arrive late: the read position never goes back, and pages of another
+/// incarnation are ignored. A gap in the sequence numbers may hide an eviction, so
 /// all earlier entries of the engine are marked untrusted when one is found.
 void CacheController::apply(const CacheEventsRead &page, TimePoint now)
 {
