--- a/include/vanilladyke/control/claim_io.hpp
+++ b/include/vanilladyke/control/claim_io.hpp
@@ -12,25 +12,26 @@
 #include <optional>
 #include <thread>
 
-/// The threads that talk to the log's stream "claims". They block; the control thread never does.
+/// Threads that make the blocking calls to the log's stream "claims" for the control thread.
 namespace vanilladyke {
 
-/// @brief What the control thread tells the threads of the log.
+/// @brief State of the ledger that the control thread publishes to the log threads.
 struct ClaimProgress
 {
-    std::uint64_t nextOffset = 0; ///< the first offset that the ledger has not seen
-    bool wantsRead = false;       ///< a claim waits for what stands in the log
-    bool idle = true;             ///< nothing is left to append, and nobody sends
+    std::uint64_t nextOffset = 0; ///< first offset that the ledger has not read
+    bool needsRead = false;       ///< a claim waits for a page of the log
+    bool idle = true;             ///< nothing is left to append and no call is being sent
 };
 
-/// @brief Turns a page of the log into claims. A record that is malformed counts as an empty one.
-[[nodiscard]] ClaimPage decodePage(const LogPage &page, TimePoint askedAt);
+/// @brief Decodes a page of the log. A malformed record is logged and becomes an empty batch.
+[[nodiscard]] ClaimPage decodePage(const LogPage &page, TimePoint requestedAt);
 
-/// @brief How an append to the log ended.
+/// @brief Converts the answer to an append into an event; logs a failure.
 [[nodiscard]] ClaimsAppended resultOf(const Outcome<LogOffset, LogFailure> &answer);
 
-/// @brief Where to begin so that a whole claim window is read, found by bisection.
-/// @return none if the log can't be read now
+/// @brief Offset to start reading at so that all records since @p notBefore are read, found by
+/// bisection over the append times.
+/// @return none if a read of the log failed
 template <LogStream Log>
 [[nodiscard]] std::optional<LogOffset> findStart(Log &log, WallTime notBefore, TimePoint deadline)
 {
@@ -52,30 +53,33 @@
     return low;
 }
 
-/// @brief The mailbox between the control thread and the threads of the log.
+/// @brief Mailbox between the control thread and the log threads. Thread-safe.
 class ClaimIo
 {
 public:
-    /// @brief Gives a batch to the appending thread. Control thread only.
+    /// @brief Passes a batch to the append thread. Control thread only.
     void append(ClaimBatch batch);
-    /// @brief Has the appending thread post a tick then: a claim that waits for the node's share of
-    /// appends would else wait for the control thread's next tick. Control thread only.
+    /// @brief Makes the append thread post a tick at that time. Without it, a claim that waits for
+    /// the node's append quota would wait for the next regular tick. Control thread only.
     void wakeAt(TimePoint when);
-    /// @brief Lets the reading thread begin; later calls change nothing.
-    void readBack(Duration window);
-    /// @brief The last page has been taken in, and the next may be read.
-    void pageTaken();
-    void tell(const ClaimProgress &progress);
-
-    /// @brief The next batch to append; an empty one when the control thread is to be woken, none
-    /// once the thread is to stop.
+    /// @brief Starts the read thread, which first reads this window back; later calls have no
+    /// effect.
+    void startReading(Duration window);
+    /// @brief Reports that the last page was processed, so that the next may be read.
+    void pageProcessed();
+    /// @brief Publishes the state of the ledger to the log threads.
+    void setProgress(const ClaimProgress &progress);
+
+    /// @brief Waits for the next batch to append. An empty batch means that the control thread has
+    /// to be woken; none means stop.
     [[nodiscard]] std::optional<ClaimBatch> nextBatch(const std::stop_token &stop);
     [[nodiscard]] std::optional<Duration> awaitWindow(const std::stop_token &stop);
-    void awaitPageTaken(const std::stop_token &stop);
+    void awaitPageProcessed(const std::stop_token &stop);
     void pause(const std::stop_token &stop, TimePoint until);
     [[nodiscard]] ClaimProgress progress() const;
 
-    /// @brief Waits until all outcomes are in the log, for a planned stop. @return whether they are
+    /// @brief Waits until all outcomes are in the log, for a planned shutdown.
+    /// @return whether they are by the deadline
     [[nodiscard]] bool flush(TimePoint deadline);
 
 private:
@@ -84,11 +88,11 @@
     std::optional<ClaimBatch> m_batch;
     std::optional<TimePoint> m_wakeAt;
     std::optional<Duration> m_window;
-    bool m_pageTaken = false;
+    bool m_pageProcessed = false;
     ClaimProgress m_progress;
 };
 
-/// @brief Runs one appending and one reading thread until it is destroyed.
+/// @brief Runs one append thread and one read thread until it is destroyed.
 template <LogStream Log>
 class ClaimLog
 {
@@ -105,11 +109,11 @@
     }
 
 private:
-    /// An append that takes longer counts as lost; a healthy log answers within milliseconds.
-    static constexpr Duration AppendWithin = std::chrono::milliseconds(1000);
-    static constexpr Duration ReadWithin = std::chrono::milliseconds(1000);
-    /// While a claim waits, a connection that has gone silent must be noticed soon.
-    static constexpr Duration UrgentReadWithin = std::chrono::milliseconds(400);
+    /// A slower append counts as unresolved; a healthy log answers within milliseconds.
+    static constexpr Duration AppendTimeout = std::chrono::milliseconds(1000);
+    static constexpr Duration ReadTimeout = std::chrono::milliseconds(1000);
+    /// Shorter while a claim waits, so that a dead connection is detected early.
+    static constexpr Duration UrgentReadTimeout = std::chrono::milliseconds(400);
     static constexpr Duration PauseAfterFailure = std::chrono::milliseconds(100);
 
     void runAppends(const std::stop_token &stop)
@@ -120,7 +124,7 @@
                 continue;
             }
             const TimePoint started = MonotonicClock::now();
-            const auto answer = m_appends.append(encodeClaims(*batch), started + AppendWithin);
+            const auto answer = m_appends.append(encodeClaims(*batch), started + AppendTimeout);
             m_metrics.count("claim_appends_total");
             m_metrics.count("claim_records_total", batch->size());
             m_metrics.observe("claim_append_seconds", MonotonicClock::now() - started);
@@ -130,35 +134,35 @@
 
     void runReads(const std::stop_token &stop)
     {
-        LogOffset from = readBackFrom(stop);
+        LogOffset from = awaitStartOffset(stop);
         while (!stop.stop_requested()) {
             const ClaimProgress progress = m_io.progress();
             from = std::max(from, progress.nextOffset);
-            const TimePoint askedAt = MonotonicClock::now();
+            const TimePoint requestedAt = MonotonicClock::now();
             const auto page = m_reads.read(
-                    from, askedAt + (progress.wantsRead ? UrgentReadWithin : ReadWithin));
+                    from, requestedAt + (progress.needsRead ? UrgentReadTimeout : ReadTimeout));
             if (!page) {
                 m_metrics.count("claim_read_failures_total");
                 m_io.pause(stop, MonotonicClock::now() + PauseAfterFailure);
                 continue;
             }
-            const bool wentBack = page->nextOffset < from;
-            from = wentBack                ? page->firstOffset
+            const bool wasTruncated = page->nextOffset < from;
+            from = wasTruncated            ? page->firstOffset
                    : page->records.empty() ? from
                                            : page->records.back().offset + 1;
-            m_inbox.post(ClaimEvent(ClaimsRead{decodePage(*page, askedAt)}));
-            m_io.awaitPageTaken(stop);
+            m_inbox.post(ClaimEvent(ClaimsRead{decodePage(*page, requestedAt)}));
+            m_io.awaitPageProcessed(stop);
         }
     }
 
-    /// Everything older than a window concerns keys that are refused by their age.
-    LogOffset readBackFrom(const std::stop_token &stop)
+    /// Records older than one window need not be read: their keys are refused because of their age.
+    LogOffset awaitStartOffset(const std::stop_token &stop)
     {
         const auto window = m_io.awaitWindow(stop);
         while (window && !stop.stop_requested()) {
             const WallTime notBefore =
                     droppableBefore(std::chrono::system_clock::now(), *window) - 2 * ClockSkew;
-            const auto start = findStart(m_reads, notBefore, MonotonicClock::now() + ReadWithin);
+            const auto start = findStart(m_reads, notBefore, MonotonicClock::now() + ReadTimeout);
             if (start) {
                 return *start;
             }
--- a/include/vanilladyke/control/control_thread.hpp
+++ b/include/vanilladyke/control/control_thread.hpp
@@ -8,11 +8,11 @@
 #include <thread>
 #include <tuple>
 
-/// The one thread that changes shared state. It hands each event to every controller, then lets
-/// every controller write its part of the next fleet, and publishes that.
+/// The only thread that changes shared state. It passes each event to every controller, lets every
+/// controller write its part of the next Fleet, and publishes that Fleet.
 namespace vanilladyke {
 
-/// @brief A part of the control state. Both members run on the control thread only.
+/// @brief Owner of one part of the control state. Both functions run on the control thread only.
 template <typename T>
 concept Controller = requires(T &controller, const Event &event, Fleet &fleet, TimePoint now)
 {
@@ -34,23 +34,24 @@
     }
 
 private:
-    static constexpr Duration TickEvery = std::chrono::milliseconds(50);
-    static constexpr int MostEventsAtOnce = 256;
+    static constexpr Duration TickInterval = std::chrono::milliseconds(50);
+    static constexpr int MaxEventsPerBatch = 256;
 
     void run(const std::stop_token &stop)
     {
         while (!stop.stop_requested()) {
-            std::optional<Event> event = m_inbox.take(MonotonicClock::now() + TickEvery);
+            std::optional<Event> event = m_inbox.take(MonotonicClock::now() + TickInterval);
             handle(event ? *event : Event(Tick{}));
             drain();
             publish();
         }
     }
 
-    /// One fleet for a batch of events: under a flood of reports the copy is made once a batch.
+    /// Handles queued events as one batch, so that under many reports the Fleet is built once a
+    /// batch.
     void drain()
     {
-        for (int i = 0; i < MostEventsAtOnce; ++i) {
+        for (int i = 0; i < MaxEventsPerBatch; ++i) {
             const std::optional<Event> event = m_inbox.take(TimePoint::min());
             if (!event) {
                 return;
--- a/include/vanilladyke/gateway/caller_server.hpp
+++ b/include/vanilladyke/gateway/caller_server.hpp
@@ -11,7 +11,7 @@
 
 namespace vanilladyke {
 
-class ClaimDesk;
+class ClaimClient;
 
 /// @brief The host's settings that a caller server uses.
 struct CallerServerOptions
@@ -20,7 +20,7 @@
     std::string privateKey;  ///< PEM file of the certificate's private key
     BackendTls backends;
     std::string streamKey; ///< 64 hexadecimal digits, the same on all nodes; empty: a random key
-    ClaimDesk *claims = nullptr; ///< null if this node has no log
+    ClaimClient *claims = nullptr; ///< null if this node has no log
 };
 
 /// @brief Serves callers over HTTP: streamed and unstreamed completions, and plain services.
--- a/src/vanilladyke/app/node.cpp
+++ b/src/vanilladyke/app/node.cpp
@@ -35,11 +35,11 @@
     : m_settings(settings)
     , m_inbox(InboxCapacity)
     , m_cacheView(CacheViewBytes)
-    , m_claimDesk(m_inbox)
+    , m_claimClient(m_inbox)
     , m_bundleLog(settings.platform, m_inbox)
     , m_transport(peerKeys,
                   [this](PeerMessage message, ReplyRoute route) {
-                      m_inbox.post(PeerHeard{std::move(message), std::move(route)});
+                      m_inbox.post(PeerMessageReceived{std::move(message), std::move(route)});
                   })
     , m_orderSender(settings.backendsTls)
     , m_bundles(bundleControl(settings, m_bundleLog), m_board, m_fleet)
@@ -127,7 +127,7 @@
 {
     return {m_settings.callersTls.certificate, m_settings.callersTls.privateKey,
             m_settings.backendsTls, m_settings.streamKey,
-            m_settings.platform ? &m_claimDesk : nullptr};
+            m_settings.platform ? &m_claimClient : nullptr};
 }
 
 } // namespace vanilladyke
--- a/src/vanilladyke/control/bundle_snapshot_test.cpp
+++ b/src/vanilladyke/control/bundle_snapshot_test.cpp
@@ -13,11 +13,11 @@
     return signingKeyOf(bytes);
 }
 
-/// A node's bundle controller with all that it needs.
+/// A bundle controller with its dependencies.
 struct Node
 {
     Node()
-        : bundles(control(), board, fleet)
+        : bundles(control(), statusStore, fleet)
     {}
 
     static BundleControl control()
@@ -29,7 +29,7 @@
         return control;
     }
 
-    /// The node reads this record from the log.
+    /// Passes a page of the log with this one record to the controller.
     void readLog(const std::string &data, LogOffset offset)
     {
         auto page = std::make_shared<LogPage>();
@@ -46,7 +46,7 @@
     }
 
     FleetStore fleet;
-    BundleBoard board;
+    BundleStatusStore statusStore;
     BundleController bundles;
     BundleSnapshot snapshot{bundles};
 };
@@ -62,7 +62,7 @@
     return writeBundleRecord(record);
 }
 
-void handOver(Node &from, Node &to)
+void transferBundle(Node &from, Node &to)
 {
     std::uint64_t cursor = 0;
     do {
@@ -73,30 +73,31 @@
     } while (cursor != 0);
 }
 
-// The log is down and a node is replaced. Without its peer it could serve nobody until the log is
-// back.
-TEST(BundleSnapshot, ANodeTakesTheBundleOfAPeerWithItsAccount)
+// Guards against a replaced node that has no bundle, and so can't serve any request, for as long as
+// the log is down although a peer has the bundle.
+TEST(BundleSnapshot, NodeAcceptsBundleAndHistoryFromPeer)
 {
     Node peer;
     peer.readLog(record(1, "", signer(1), 3 * BundleSnapshot::PieceBytes), 0);
     Node started;
-    handOver(peer, started);
+    transferBundle(peer, started);
     EXPECT_EQ(started.version(), 1U);
-    EXPECT_EQ(started.board.status().history, peer.board.status().history);
+    EXPECT_EQ(started.statusStore.status().history, peer.statusStore.status().history);
     EXPECT_EQ(started.bundles.peerRecord(), peer.bundles.peerRecord());
 }
 
-// A peer hands over a bundle that nobody signed. A node that took its word for it would go by a
-// configuration that no operator ever published.
-TEST(BundleSnapshot, APeersWordCountsNoMoreThanTheSignatures)
+// Guards against accepting a bundle from a peer without valid signatures: the node would run with a
+// configuration that no operator published.
+TEST(BundleSnapshot, PeerBundleWithoutValidSignaturesIsRefused)
 {
     Node started;
-    started.bundles.takePeerRecord(record(5, "", signer(2)));
-    started.bundles.takePeerRecord(record(5, "", signer(1)));
-    EXPECT_EQ(started.version(), 0U) << "unsigned, and signed but never accepted by anyone";
+    started.bundles.acceptPeerRecord(record(5, "", signer(2)));
+    started.bundles.acceptPeerRecord(record(5, "", signer(1)));
+    EXPECT_EQ(started.version(), 0U)
+            << "untrusted signer, and trusted signature without an acceptance history";
 }
 
-TEST(BundleSnapshot, AnOlderBundleOfAPeerChangesNothing)
+TEST(BundleSnapshot, OlderBundleFromPeerIsIgnored)
 {
     Node peer;
     const std::string first = record(1, "", signer(1));
@@ -105,29 +106,30 @@
     newer.readLog(first, 0);
     const std::string parent = digestOf(parseBundleRecord(first)->bundle.text);
     newer.readLog(record(2, parent, signer(1)), 1);
-    handOver(peer, newer);
+    transferBundle(peer, newer);
     EXPECT_EQ(newer.version(), 2U);
-    handOver(newer, peer);
+    transferBundle(newer, peer);
     EXPECT_EQ(peer.version(), 2U);
 }
 
-// The peer accepts a new bundle between two pieces. Half of each would be no bundle at all.
-TEST(BundleSnapshot, PiecesOfTwoBundlesAreNotPutTogether)
+// Guards against combining pieces of two bundles when the peer accepts a new bundle during a
+// transfer: the result would be a corrupt record.
+TEST(BundleSnapshot, PiecesOfTwoBundlesAreNotCombined)
 {
     Node peer;
     const std::string first = record(1, "", signer(1), 2 * BundleSnapshot::PieceBytes);
     peer.readLog(first, 0);
     Node started;
-    const SnapshotPiece begun = peer.snapshot.write(0);
-    started.snapshot.read(begun);
+    const SnapshotPiece firstPiece = peer.snapshot.write(0);
+    started.snapshot.read(firstPiece);
     const std::string parent = digestOf(parseBundleRecord(first)->bundle.text);
     peer.readLog(record(2, parent, signer(1), 2 * BundleSnapshot::PieceBytes), 1);
     static_cast<void>(peer.snapshot.write(0));
-    SnapshotPiece other = peer.snapshot.write(begun.nextCursor);
-    other.cursor = begun.nextCursor;
+    SnapshotPiece other = peer.snapshot.write(firstPiece.nextCursor);
+    other.cursor = firstPiece.nextCursor;
     started.snapshot.read(other);
     EXPECT_EQ(started.version(), 0U);
-    handOver(peer, started);
+    transferBundle(peer, started);
     EXPECT_EQ(started.version(), 2U);
 }
 
@@ -138,7 +140,7 @@
     piece.items = items;
     node.snapshot.read(piece);
     for (const std::string &item : items) {
-        node.bundles.takePeerRecord(item);
+        node.bundles.acceptPeerRecord(item);
     }
     RC_ASSERT(node.version() == 0U);
 }
--- a/src/vanilladyke/control/bundle_board.cpp
+++ b/src/vanilladyke/control/bundle_status_store.cpp
@@ -1,4 +1,4 @@
-#include "vanilladyke/control/bundle_board.hpp"
+#include "vanilladyke/control/bundle_status_store.hpp"
 
 #include <algorithm>
 
@@ -6,19 +6,20 @@
 
 namespace {
 
-/// Verdicts that are kept for publishers which still wait; each waits for some seconds.
-constexpr std::size_t MostNotes = 4096;
+/// Number of verdicts kept for waiting publishers; each publisher waits for a few seconds.
+constexpr std::size_t MaxNotes = 4096;
 
 } // namespace
 
-BundleStatus BundleBoard::status() const
+BundleStatus BundleStatusStore::status() const
 {
     const std::lock_guard lock(m_mutex);
     return m_status;
 }
 
-std::optional<FoldNote> BundleBoard::verdict(const std::string &nonce, const std::string &digest,
-                                             TimePoint deadline) const
+std::optional<FoldNote> BundleStatusStore::verdict(const std::string &nonce,
+                                                   const std::string &digest,
+                                                   TimePoint deadline) const
 {
     std::unique_lock lock(m_mutex);
     std::optional<FoldNote> found;
@@ -29,8 +30,8 @@
     return found;
 }
 
-std::optional<FoldNote> BundleBoard::findVerdict(const std::string &nonce,
-                                                 const std::string &digest) const
+std::optional<FoldNote> BundleStatusStore::findVerdict(const std::string &nonce,
+                                                       const std::string &digest) const
 {
     const auto note = std::find_if(m_notes.rbegin(), m_notes.rend(), [&](const FoldNote &each) {
         return each.nonce == nonce && each.verdict != FoldVerdict::Waiting;
@@ -49,7 +50,7 @@
     return std::nullopt;
 }
 
-void BundleBoard::show(BundleStatus status)
+void BundleStatusStore::setStatus(BundleStatus status)
 {
     {
         const std::lock_guard lock(m_mutex);
@@ -58,12 +59,12 @@
     m_changed.notify_all();
 }
 
-void BundleBoard::addNote(FoldNote note)
+void BundleStatusStore::addNote(FoldNote note)
 {
     {
         const std::lock_guard lock(m_mutex);
         m_notes.push_back(std::move(note));
-        if (m_notes.size() > MostNotes) {
+        if (m_notes.size() > MaxNotes) {
             m_notes.pop_front();
         }
     }
--- a/src/vanilladyke/control/cache_controller.cpp
+++ b/src/vanilladyke/control/cache_controller.cpp
@@ -9,13 +9,13 @@
     if (const auto *report = std::get_if<EngineReported>(&event)) {
         enterIncarnation(engineKeyOf(report->engine), report->incarnation, now);
     } else if (const auto *page = std::get_if<CacheEventsRead>(&event)) {
-        take(*page, now);
+        apply(*page, now);
     } else if (const auto *sent = std::get_if<PrefixSent>(&event)) {
-        take(*sent, now);
+        apply(*sent, now);
     }
 }
 
-void CacheController::takeOver(const CacheEntry &entry, TimePoint now)
+void CacheController::mergeEntry(const CacheEntry &entry, TimePoint now)
 {
     enterIncarnation(entry.engine, entry.incarnation, now - entry.age);
     m_view.stored(entry.engine, entry.incarnation, entry.hash, now - entry.age);
@@ -31,9 +31,10 @@
     m_view.setIncarnation(engine, incarnation, now);
 }
 
-/// A page may be read twice, or an older one may come late; events count only once and in order.
-/// A missing number may have been an eviction: what was known before is trusted less from then on.
-void CacheController::take(const CacheEventsRead &page, TimePoint now)
+/// A page may be read twice or arrive late: the read position never goes back, and pages of another
+/// incarnation are ignored. A gap in the sequence numbers may hide an eviction, so
+/// all earlier entries of the engine are marked untrusted when one is found.
+void CacheController::apply(const CacheEventsRead &page, TimePoint now)
 {
     const EngineKey engine = engineKeyOf(page.engine);
     enterIncarnation(engine, page.incarnation, now);
@@ -63,7 +64,7 @@
     }
 }
 
-void CacheController::take(const PrefixSent &sent, TimePoint now)
+void CacheController::apply(const PrefixSent &sent, TimePoint now)
 {
     for (const PrefixCut &cut : *sent.chain) {
         m_view.stored(sent.engine, sent.incarnation, cut.hash, now);
--- a/src/vanilladyke/control/claim_desk.cpp
+++ b/src/vanilladyke/control/claim_client.cpp
@@ -1,10 +1,11 @@
-#include "vanilladyke/control/claim_desk.hpp"
+#include "vanilladyke/control/claim_client.hpp"
 
 namespace vanilladyke {
 
 namespace {
 
-/// The ledger refuses at the deadline; beyond this the control thread itself must be stuck.
+/// Extra wait beyond the deadline, at which the ledger refuses; if it passes, the control thread
+/// itself is blocked.
 constexpr Duration VerdictGrace = std::chrono::seconds(1);
 
 } // namespace
@@ -26,8 +27,8 @@
     settle(ClaimOutcome{m_key, m_nonce, OutcomeKind::Unknown, 0, {}, {}});
 }
 
-void ClaimPermit::answered(std::uint32_t status, const std::string &contentType,
-                           const std::string &body)
+void ClaimPermit::recordAnswer(std::uint32_t status, const std::string &contentType,
+                               const std::string &body)
 {
     const bool fits = body.size() <= MostAnswerBytes;
     settle(ClaimOutcome{m_key, m_nonce, fits ? OutcomeKind::Answered : OutcomeKind::AnswerTooLarge,
@@ -46,14 +47,14 @@
     }
 }
 
-ClaimAnswer ClaimDesk::ask(ClaimRequest request)
+ClaimAnswer ClaimClient::requestPermit(ClaimRequest request)
 {
     request.ticket = ClaimTicket{++m_tickets};
     auto wait = std::make_shared<ClaimWait>();
-    m_inbox.post(ClaimEvent(ClaimAsked{request, wait}));
+    m_inbox.post(ClaimEvent(ClaimRequested{request, wait}));
     std::optional<ClaimVerdict> verdict = wait->wait(request.deadline + VerdictGrace);
     if (!verdict) {
-        // Whatever verdict comes now finds nobody, and the controller gives the claim up.
+        // A verdict that comes later can't be delivered, and the controller releases the claim.
         return Refusal{RefusalReason::LogUnavailable,
                        "the claim was not decided in time",
                        ranOfUnsent(request),
--- a/src/vanilladyke/control/claim_codec_test.cpp
+++ b/src/vanilladyke/control/claim_codec_test.cpp
@@ -46,7 +46,7 @@
     return batch;
 }
 
-RC_GTEST_PROP(ClaimCodec, WhatIsWrittenIsReadBack, ())
+RC_GTEST_PROP(ClaimCodec, EncodedBatchDecodesToItself, ())
 {
     const ClaimBatch batch = anyBatch();
     const auto back = decodeClaims(encodeClaims(batch));
@@ -54,15 +54,15 @@
     RC_ASSERT(*back == batch);
 }
 
-// Something else writes to the stream, or a record gets damaged. A node that crashed on it would
-// crash again at every start, since the record stays in the log.
-RC_GTEST_PROP(ClaimCodec, AnyBytesAreReadOrRefused, (const std::string &bytes))
+// Guards against a crash on a corrupt record or on one from another writer: the record stays in the
+// log, so the node would crash again at every start.
+RC_GTEST_PROP(ClaimCodec, ArbitraryBytesAreDecodedOrRefused, (const std::string &bytes))
 {
     const auto batch = decodeClaims(bytes);
     RC_ASSERT(batch.has_value() || !batch.error().empty());
 }
 
-RC_GTEST_PROP(ClaimCodec, ADamagedBatchIsReadOrRefused, ())
+RC_GTEST_PROP(ClaimCodec, CorruptBatchIsDecodedOrRefused, ())
 {
     std::string bytes = encodeClaims(anyBatch());
     const int changes = *rc::gen::inRange(1, 5);
@@ -75,9 +75,9 @@
     }
 }
 
-// A service answers with a content type of any bytes. If readers refused the outcome, they would
-// refuse the claims of other calls in the same append with it, and send those a second time.
-TEST(ClaimCodec, BytesThatAreNoTextDoNotSpoilTheBatch)
+// Guards against refusing a whole batch for one answer whose content type is not valid text: the
+// claims of other calls in the same append would be lost, and those calls sent twice.
+TEST(ClaimCodec, InvalidTextDoesNotInvalidateTheBatch)
 {
     Random random(1);
     const ClaimKey key{CustomerId("\xD5"), ServiceId("s"), newUuidV7(WallTime(), random)};
@@ -86,7 +86,7 @@
     EXPECT_EQ(decodeClaims(encodeClaims(batch)).value(), batch);
 }
 
-wire::ClaimRecord soundRecord()
+wire::ClaimRecord validRecord()
 {
     Random random(1);
     wire::ClaimBatch batch;
@@ -96,7 +96,7 @@
     return batch.records(0);
 }
 
-bool reads(const wire::ClaimRecord &record)
+bool decodes(const wire::ClaimRecord &record)
 {
     wire::ClaimBatch batch;
     *batch.add_records() = record;
@@ -105,28 +105,28 @@
 
 TEST(ClaimCodec, WrongSizesAndKindsAreRefused)
 {
-    ASSERT_TRUE(reads(soundRecord()));
-    wire::ClaimRecord record = soundRecord();
+    ASSERT_TRUE(decodes(validRecord()));
+    wire::ClaimRecord record = validRecord();
     record.mutable_key()->set_key("short");
-    EXPECT_FALSE(reads(record));
-    record = soundRecord();
+    EXPECT_FALSE(decodes(record));
+    record = validRecord();
     record.mutable_key()->mutable_key()->at(6) = 0x40; // version 4
-    EXPECT_FALSE(reads(record));
-    record = soundRecord();
+    EXPECT_FALSE(decodes(record));
+    record = validRecord();
     record.mutable_key()->set_customer(std::string(10'000, 'x'));
-    EXPECT_FALSE(reads(record));
-    record = soundRecord();
+    EXPECT_FALSE(decodes(record));
+    record = validRecord();
     record.mutable_nonce()->set_sequence(0);
-    EXPECT_FALSE(reads(record));
-    record = soundRecord();
+    EXPECT_FALSE(decodes(record));
+    record = validRecord();
     record.mutable_outcome()->set_body(std::string(MostAnswerBytes + 1, 'x'));
-    EXPECT_FALSE(reads(record));
-    record = soundRecord();
+    EXPECT_FALSE(decodes(record));
+    record = validRecord();
     record.clear_body();
-    EXPECT_FALSE(reads(record));
-    record = soundRecord();
+    EXPECT_FALSE(decodes(record));
+    record = validRecord();
     record.mutable_claim();
-    EXPECT_FALSE(reads(record));
+    EXPECT_FALSE(decodes(record));
     EXPECT_FALSE(decodeClaims(std::string(5U << 20U, '\0')).has_value());
 }
 
--- a/src/vanilladyke/control/engine_poller.cpp
+++ b/src/vanilladyke/control/engine_poller.cpp
@@ -9,10 +9,9 @@
 
 namespace {
 
-/// Load reports older than this mislead placement more than asking costs: 10 small answers a
-/// second.
-constexpr Duration PollEvery = std::chrono::milliseconds(100);
-constexpr Duration AnswerWithin = std::chrono::milliseconds(700);
+/// Placement by older load reports costs more than the 10 small requests a second for each engine.
+constexpr Duration PollInterval = std::chrono::milliseconds(100);
+constexpr Duration AnswerTimeout = std::chrono::milliseconds(700);
 
 std::vector<HeldModel> parseModels(const nlohmann::json &list)
 {
@@ -63,14 +62,14 @@
     return page;
 }
 
-/// Where the poller is in an engine's cache feed.
+/// Read position in an engine's cache feed.
 struct FeedPosition
 {
     Incarnation incarnation{};
     std::uint64_t after = 0;
 };
 
-/// Reads on in the cache feed. An answer that can't be read is as none: the next one shows the gap.
+/// Reads the next page of the cache feed. A malformed answer is skipped: the gap shows in the next.
 std::optional<CacheEventsRead> readCacheEvents(httplib::Client &client, const EngineId &engine,
                                                FeedPosition &position)
 {
@@ -93,7 +92,7 @@
     }
 }
 
-Event ask(httplib::Client &client, const EngineId &engine)
+Event requestState(httplib::Client &client, const EngineId &engine)
 {
     const httplib::Result answer = client.Get("/v1/state");
     if (!answer) {
@@ -141,7 +140,7 @@
                 });
             }
         }
-        pause(stop, MonotonicClock::now() + PollEvery);
+        pause(stop, MonotonicClock::now() + PollInterval);
     }
 }
 
@@ -150,11 +149,11 @@
     const auto owned = makeBackendClient(entry.endpoint, m_tls);
     httplib::Client &client = *owned;
     client.set_keep_alive(true);
-    client.set_connection_timeout(AnswerWithin);
-    client.set_read_timeout(AnswerWithin);
+    client.set_connection_timeout(AnswerTimeout);
+    client.set_read_timeout(AnswerTimeout);
     FeedPosition position;
     while (!stop.stop_requested()) {
-        Event state = ask(client, entry.id);
+        Event state = requestState(client, entry.id);
         const bool reached = std::holds_alternative<EngineReported>(state);
         m_inbox.post(std::move(state));
         if (reached) {
@@ -162,7 +161,7 @@
                 m_inbox.post(std::move(*page));
             }
         }
-        pause(stop, MonotonicClock::now() + PollEvery);
+        pause(stop, MonotonicClock::now() + PollInterval);
     }
 }
 
--- a/src/vanilladyke/control/snapshot_controller_test.cpp
+++ b/src/vanilladyke/control/snapshot_controller_test.cpp
@@ -17,7 +17,7 @@
     return member;
 }
 
-/// A node that starts, with what it sent and took in.
+/// A starting node that records the messages it sent and the pieces it merged.
 struct StartingNode
 {
     explicit StartingNode(std::vector<Member> members)
@@ -27,9 +27,9 @@
         controller.handle(Tick{}, now);
     }
 
-    void hear(const Member &from, const SnapshotPiece &piece)
+    void receive(const Member &from, const SnapshotPiece &piece)
     {
-        controller.handle(PeerHeard{{from, {}, {}, piece}, {}}, now);
+        controller.handle(PeerMessageReceived{{from, {}, {}, piece}, {}}, now);
     }
 
     void wait(Duration span)
@@ -41,7 +41,7 @@
     [[nodiscard]] const Endpoint &lastAsked() const { return std::get<Endpoint>(sent.back().to); }
 
     std::vector<Outgoing> sent;
-    std::vector<std::string> taken;
+    std::vector<std::string> merged;
     Fleet fleet;
     TimePoint now{std::chrono::seconds(100)};
     SnapshotController controller{
@@ -49,7 +49,7 @@
                      [](std::uint64_t) {
                          return SnapshotPiece{{}, 0, 0, {"bundle"}};
                      },
-                     [this](const SnapshotPiece &piece) { taken.push_back(piece.items.at(0)); }},
+                     [this](const SnapshotPiece &piece) { merged.push_back(piece.items.at(0)); }},
              {}},
             [this](Outgoing outgoing) { sent.push_back(std::move(outgoing)); },
     };
@@ -59,45 +59,45 @@
 const Member farNode = readyNode("n2", "ikeja-hall", 2);
 const Member nearNode = readyNode("n3", "yaba-hall", 3);
 
-TEST(SnapshotController, AsksTheNearestReadyPeerPieceByPiece)
+TEST(SnapshotController, FetchesPiecesFromTheNearestReadyPeer)
 {
     StartingNode node({selfNode, farNode, nearNode});
     ASSERT_EQ(node.sent.size(), 1U);
     EXPECT_EQ(node.lastAsked(), nearNode.peers);
-    node.hear(nearNode, {SnapshotSection::Bundle, 0, 5, {"first"}});
+    node.receive(nearNode, {SnapshotSection::Bundle, 0, 5, {"first"}});
     ASSERT_EQ(node.sent.size(), 2U);
     EXPECT_EQ(std::get<SnapshotRequest>(node.sent.back().message.body).cursor, 5U);
-    node.hear(nearNode, {SnapshotSection::Bundle, 5, 0, {"second"}});
+    node.receive(nearNode, {SnapshotSection::Bundle, 5, 0, {"second"}});
     node.wait(milliseconds(1));
-    EXPECT_EQ(node.taken, (std::vector<std::string>{"first", "second"}));
-    EXPECT_TRUE(node.controller.warm());
+    EXPECT_EQ(node.merged, (std::vector<std::string>{"first", "second"}));
+    EXPECT_TRUE(node.controller.isComplete());
 }
 
-// The peer that was asked dies before it answers, and its answer comes after another peer was
-// asked. Waiting for it would leave the node cold; mixing both peers' pieces would leave holes.
-TEST(SnapshotController, TurnsToAnotherPeerAndIgnoresTheLateAnswer)
+// Guards against waiting for a peer that does not answer, which would leave the cache view empty,
+// and against accepting its late answer after another peer was asked, which would leave gaps.
+TEST(SnapshotController, AsksAnotherPeerAfterTimeoutAndIgnoresTheLateAnswer)
 {
     StartingNode node({selfNode, farNode, nearNode});
     node.wait(milliseconds(900));
     EXPECT_EQ(node.lastAsked(), farNode.peers);
-    node.hear(nearNode, {SnapshotSection::Bundle, 0, 0, {"late"}});
-    EXPECT_TRUE(node.taken.empty());
-    node.hear(farNode, {SnapshotSection::Bundle, 0, 0, {"good"}});
-    EXPECT_EQ(node.taken, std::vector<std::string>{"good"});
+    node.receive(nearNode, {SnapshotSection::Bundle, 0, 0, {"late"}});
+    EXPECT_TRUE(node.merged.empty());
+    node.receive(farNode, {SnapshotSection::Bundle, 0, 0, {"good"}});
+    EXPECT_EQ(node.merged, std::vector<std::string>{"good"});
 }
 
-// All hosts are replaced at once and nobody has anything to give. A node that waited for a ready
-// peer for good would never get ready.
-TEST(SnapshotController, TheFirstNodeOfAFleetGoesOnAlone)
+// Guards against waiting for a ready peer without limit: when all hosts are replaced at once there
+// is none, and no node would become ready.
+TEST(SnapshotController, FirstNodeOfAFleetStartsWithoutPeers)
 {
     StartingNode node({selfNode});
     node.wait(std::chrono::seconds(4));
-    EXPECT_TRUE(node.controller.warm());
+    EXPECT_TRUE(node.controller.isComplete());
     EXPECT_TRUE(node.sent.empty());
 }
 
-// The log is down while a peer already has a newer bundle. Without asking, this node would go on
-// under the old one for as long as the log is away.
+// Guards against running with an old bundle for as long as the log is down although a peer has a
+// newer one.
 TEST(SnapshotController, FetchesANewerBundleFromAPeer)
 {
     StartingNode node({selfNode});
@@ -109,15 +109,16 @@
     node.wait(milliseconds(1100));
     ASSERT_EQ(node.sent.size(), 1U);
     EXPECT_EQ(node.lastAsked(), newer.peers);
-    node.hear(newer, {SnapshotSection::Bundle, 0, 0, {"version 9"}});
-    EXPECT_EQ(node.taken, std::vector<std::string>{"version 9"});
+    node.receive(newer, {SnapshotSection::Bundle, 0, 0, {"version 9"}});
+    EXPECT_EQ(node.merged, std::vector<std::string>{"version 9"});
 }
 
-TEST(SnapshotController, AnswersARequestOnTheRouteItCameBy)
+TEST(SnapshotController, AnswersARequestOnItsReplyRoute)
 {
     StartingNode node({selfNode});
     node.controller.handle(
-            PeerHeard{{nearNode, {}, {}, SnapshotRequest{SnapshotSection::Bundle, 0}}, {"r"}},
+            PeerMessageReceived{{nearNode, {}, {}, SnapshotRequest{SnapshotSection::Bundle, 0}},
+                                {"r"}},
             node.now);
     ASSERT_EQ(node.sent.size(), 1U);
     EXPECT_EQ(std::get<ReplyRoute>(node.sent[0].to).identity, "r");
--- a/src/vanilladyke/gateway/engine_exchange.cpp
+++ b/src/vanilladyke/gateway/engine_exchange.cpp
@@ -187,8 +187,7 @@
                          && response.get_header_value("X-Weights-Version") == call.weights.str()
                          && response.get_header_value("X-Incarnation") == std::to_string(expected);
     if (!matches) {
-        fail(ExchangeError::Mismatch,
-             "answer is from another attempt, weights version or incarnation");
+        fail(ExchangeError::Mismatch, "another attempt, weights version or incarnation answered");
     }
     return matches;
 }
@@ -227,7 +226,7 @@
     // The library may report a connect error for a connection lost later, after bytes were sent.
     const bool nothingSent = unconnected && !connected;
     fail(nothingSent ? ExchangeError::ConnectFailed : ExchangeError::Reset,
-         result ? "the stream ended without an end marker" : httplib::to_string(result.error()));
+         result ? "no end marker" : httplib::to_string(result.error()));
 }
 
 /// The library's stop() blocks while connecting, up to the connection time-out, so it is only
@@ -263,8 +262,7 @@
     const bool filled = m_shared->changed.wait_until(lock, deadline,
                                                      [this] { return !m_shared->items.empty(); });
     if (!filled) {
-        return failure(ExchangeFailure{ExchangeError::TimedOut,
-                                       "no data from the engine before the deadline"});
+        return failure(ExchangeFailure{ExchangeError::TimedOut, "nothing came in time"});
     }
     Outcome<StreamFrame, ExchangeFailure> item = std::move(m_shared->items.front());
     m_shared->items.pop_front();
--- a/src/vanilladyke/gateway/service_exchange.cpp
+++ b/src/vanilladyke/gateway/service_exchange.cpp
@@ -50,8 +50,7 @@
 {
     const Duration left = deadline - MonotonicClock::now();
     if (left <= Duration::zero()) {
-        return failure(ExchangeFailure{ExchangeError::ConnectFailed,
-                                       "the deadline passed before sending"});
+        return failure(ExchangeFailure{ExchangeError::ConnectFailed, "no time was left to send"});
     }
     const auto client = makeBackendClient(backend, tls);
     client->set_connection_timeout(std::min(left, ConnectTimeout));
--- a/src/vanilladyke/gateway/service_handler.cpp
+++ b/src/vanilladyke/gateway/service_handler.cpp
@@ -102,7 +102,7 @@
     request.deadline = context.firstTokenDeadline;
     request.repeat = call.repeat;
     const TimePoint asked = MonotonicClock::now();
-    ClaimAnswer answer = m_claims->ask(request);
+    ClaimAnswer answer = m_claims->requestPermit(request);
     m_metrics.observe("claim_seconds", MonotonicClock::now() - asked);
     return answer;
 }
@@ -147,8 +147,8 @@
         auto outcome = sendOnce(call, backend, m_tls, deadline);
         logAttempt(call, backend, outcome);
         if (outcome) {
-            permit.answered(static_cast<std::uint32_t>(outcome->status), outcome->contentType,
-                            outcome->body);
+            permit.recordAnswer(static_cast<std::uint32_t>(outcome->status), outcome->contentType,
+                                outcome->body);
             return std::move(*outcome);
         }
         state.apply(eventOf(outcome.error().error));
