--- a/include/vanilladyke/operators/operator_server.hpp
+++ b/include/vanilladyke/operators/operator_server.hpp
@@ -9,23 +9,23 @@
 #include <string>
 #include <vector>
 
-/// HTTP for operators, on an address of its own:
+/// HTTP interface for operators, served on a separate address:
 ///   POST /operator/v1/bundles   publish a signed bundle
-///   GET  /operator/v1/status    bundle and phase of every node, state of the log
+///   GET  /operator/v1/status    bundle version and phase of each node, state of the log
 ///   GET  /operator/v1/history   accepted bundles, oldest first
-///   GET  /operator/v1/bundle    the bundle in force, as it was signed
-///   GET  /operator/v1/state     the fleet as this node sees it
-///   GET  /metrics, /healthz, /readyz   without a key
+///   GET  /operator/v1/bundle    the current bundle as signed
+///   GET  /operator/v1/state     this node's view of the fleet
+///   GET  /metrics, /healthz, /readyz   no key required
 namespace vanilladyke {
 
-/// @brief An operator who may use the interface.
+/// @brief Credentials of an operator.
 struct OperatorKey
 {
     std::string id;
     std::string digest; ///< BLAKE2b-256 of the bearer key, hexadecimal
 };
 
-/// @brief What the operators' interface shows and needs.
+/// @brief Dependencies and settings of the operator interface.
 struct OperatorContext
 {
     NodeId node;
@@ -37,7 +37,7 @@
     std::function<std::string()> stateDump; ///< JSON; may be empty
 };
 
-/// @brief Serves operators.
+/// @brief HTTP server of the operator interface.
 class OperatorServer
 {
 public:
@@ -46,9 +46,9 @@
     OperatorServer &operator=(const OperatorServer &) = delete;
     ~OperatorServer();
 
-    /// @brief Takes the address. @return false if it is not to be had
+    /// @brief Binds to the address. @return false if binding failed
     [[nodiscard]] bool bind(const Endpoint &endpoint);
-    /// @brief Serves until stop().
+    /// @brief Blocks and serves requests until stop() is called.
     void run();
     void stop();
 
@@ -57,7 +57,7 @@
     std::unique_ptr<Private> m_private;
 };
 
-/// @brief Why a node is not ready to serve; empty if it is.
+/// @brief Reason why the node is not ready to serve; empty if it is ready.
 [[nodiscard]] std::string notReadyReason(const Fleet &fleet, const BundleStatus &status);
 
 } // namespace vanilladyke
--- a/include/vanilladyke/operators/publisher.hpp
+++ b/include/vanilladyke/operators/publisher.hpp
@@ -8,40 +8,41 @@
 #include <string>
 #include <vector>
 
-/// Publishing a bundle through this node, and telling the truth about what came of it.
+/// Publishes a bundle through this node and reports the outcome that the log confirms.
 namespace vanilladyke {
 
-/// @brief What became of a publication.
+/// @brief Outcome of a publication.
 enum class PublishOutcome {
     Accepted,
-    LostRace, ///< another bundle with the same parent was first
-    Refused,  ///< it breaks a rule; the errors say which
-    Unknown,  ///< it may be in the log; the account will tell
-    LogDown,  ///< it is not in the log
+    LostRace, ///< another bundle with the same parent was accepted first
+    Refused,  ///< the bundle is invalid; see PublishResult::errors
+    Unknown,  ///< the bundle may be in the log; reading the log settles it
+    LogDown,  ///< the log is unavailable; the bundle was not appended
 };
 
 [[nodiscard]] std::string_view toString(PublishOutcome outcome);
 
-/// @brief The answer to the operator.
+/// @brief Result reported to the operator.
 struct PublishResult
 {
     PublishOutcome outcome = PublishOutcome::Unknown;
-    std::uint64_t version = 0;         ///< the publication's own
-    std::string digest;                ///< the publication's own
-    std::uint64_t acceptedVersion = 0; ///< in force by this node's knowledge
+    std::uint64_t version = 0;         ///< version of the published bundle
+    std::string digest;                ///< digest of the published bundle
+    std::uint64_t acceptedVersion = 0; ///< current version in this node's view
     std::string detail;
     std::vector<FieldError> errors;
 };
 
-/// @brief What publishing needs to know of the host.
+/// @brief Host settings for publishing.
 struct PublishSettings
 {
-    std::optional<Endpoint> log; ///< none if the node runs without a log
+    std::optional<Endpoint> log; ///< empty if the node runs without a log
     TrustedSigners trusted;
 };
 
-/// @brief Checks the signed bundle, appends it and waits for the verdict of the log.
-/// @param body the signed bundle as `bundle sign` writes it
+/// @brief Validates the signed bundle, appends it to the log and waits until reading the log back
+/// shows whether it was accepted.
+/// @param body the signed bundle in the format written by `bundle sign`
 [[nodiscard]] PublishResult publishBundle(const std::string &body, const PublishSettings &settings,
                                           const BundleBoard &board, TimePoint deadline);
 
--- a/src/vanilladyke/operators/operator_server.cpp
+++ b/src/vanilladyke/operators/operator_server.cpp
@@ -15,8 +15,8 @@
 using nlohmann::json;
 
 constexpr std::size_t OperatorThreads = 16;
-constexpr std::size_t MostBodyBytes = MostRecordBytes;
-constexpr Duration PublishWithin = std::chrono::seconds(10);
+constexpr std::size_t MaxBodyBytes = MostRecordBytes;
+constexpr Duration PublishTimeout = std::chrono::seconds(10);
 constexpr std::string_view BearerScheme = "Bearer ";
 constexpr const char *JsonType = "application/json";
 
@@ -26,7 +26,7 @@
     return Statuses.at(static_cast<std::size_t>(outcome));
 }
 
-json written(const PublishResult &result)
+json toJson(const PublishResult &result)
 {
     json errors = json::array();
     for (const FieldError &error : result.errors) {
@@ -47,7 +47,7 @@
     return Names.at(static_cast<std::size_t>(phase));
 }
 
-json written(const Member &member)
+json toJson(const Member &member)
 {
     return {{"node", member.node.str()},
             {"data_centre", member.dataCentre.str()},
@@ -84,10 +84,10 @@
     using Handler =
             std::function<void(const OperatorKey &, const httplib::Request &, httplib::Response &)>;
 
-    [[nodiscard]] httplib::Server::Handler guarded(Handler handler) const;
+    [[nodiscard]] httplib::Server::Handler requireKey(Handler handler) const;
     [[nodiscard]] const OperatorKey *identify(const httplib::Request &request) const;
     void addOperatorRoutes();
-    void addOpenRoutes();
+    void addPublicRoutes();
     void publish(const OperatorKey &key, const std::string &body,
                  httplib::Response &response) const;
     [[nodiscard]] json status() const;
@@ -109,7 +109,7 @@
     return found == context.keys.end() ? nullptr : &*found;
 }
 
-httplib::Server::Handler OperatorServer::Private::guarded(Handler handler) const
+httplib::Server::Handler OperatorServer::Private::requireKey(Handler handler) const
 {
     return [this, handler = std::move(handler)](const httplib::Request &request,
                                                 httplib::Response &response) {
@@ -130,7 +130,7 @@
                                       httplib::Response &response) const
 {
     const PublishResult result = publishBundle(body, context.publishing, context.board,
-                                               MonotonicClock::now() + PublishWithin);
+                                               MonotonicClock::now() + PublishTimeout);
     LogEvent("publish")
             .field("operator", key.id)
             .field("outcome", toString(result.outcome))
@@ -138,7 +138,7 @@
             .field("digest", result.digest)
             .field("detail", result.detail);
     response.status = statusOf(result.outcome);
-    answerJson(response, written(result));
+    answerJson(response, toJson(result));
 }
 
 json OperatorServer::Private::status() const
@@ -147,12 +147,12 @@
     const std::shared_ptr<const Fleet> fleet = context.fleet.current();
     json nodes = json::array();
     for (const Member &member : fleet->members) {
-        nodes.push_back(written(member));
+        nodes.push_back(toJson(member));
     }
-    const std::string trouble = notReadyReason(*fleet, bundles);
+    const std::string reason = notReadyReason(*fleet, bundles);
     return {{"node", context.node.str()},
-            {"ready", trouble.empty()},
-            {"not_ready_reason", trouble},
+            {"ready", reason.empty()},
+            {"not_ready_reason", reason},
             {"version", fleet->bundle ? fleet->bundle->version : 0},
             {"digest", bundles.accepted ? bundles.accepted->entry.digest : ""},
             {"log_reachable", bundles.logReachable},
@@ -160,7 +160,7 @@
             {"nodes", std::move(nodes)}};
 }
 
-/// The node's own metrics and, read at this moment, those of its bundle.
+/// Metrics of the node, and those of its bundle computed at the time of the call.
 std::string OperatorServer::Private::metricsText() const
 {
     const BundleStatus bundles = context.board.status();
@@ -177,32 +177,36 @@
 
 void OperatorServer::Private::addOperatorRoutes()
 {
-    server.Post(
-            "/operator/v1/bundles",
-            guarded([this](const OperatorKey &key, const httplib::Request &request,
-                           httplib::Response &response) { publish(key, request.body, response); }));
+    server.Post("/operator/v1/bundles",
+                requireKey([this](const OperatorKey &key, const httplib::Request &request,
+                                  httplib::Response &response) {
+                    publish(key, request.body, response);
+                }));
     server.Get("/operator/v1/status",
-               guarded([this](const OperatorKey &, const httplib::Request &,
-                              httplib::Response &response) { answerJson(response, status()); }));
-    server.Get("/operator/v1/history", guarded([this](const OperatorKey &, const httplib::Request &,
-                                                      httplib::Response &response) {
+               requireKey([this](const OperatorKey &, const httplib::Request &,
+                                 httplib::Response &response) { answerJson(response, status()); }));
+    server.Get("/operator/v1/history",
+               requireKey([this](const OperatorKey &, const httplib::Request &,
+                                 httplib::Response &response) {
                    response.set_content(writeHistory(context.board.status().history), JsonType);
                }));
-    server.Get("/operator/v1/bundle", guarded([this](const OperatorKey &, const httplib::Request &,
-                                                     httplib::Response &response) {
+    server.Get("/operator/v1/bundle",
+               requireKey([this](const OperatorKey &, const httplib::Request &,
+                                 httplib::Response &response) {
                    const BundleStatus bundles = context.board.status();
                    response.status = bundles.accepted ? 200 : 404;
                    response.set_content(
                            bundles.accepted ? writeSignedBundle(bundles.accepted->bundle) : "{}",
                            JsonType);
                }));
-    server.Get("/operator/v1/state", guarded([this](const OperatorKey &, const httplib::Request &,
-                                                    httplib::Response &response) {
+    server.Get("/operator/v1/state",
+               requireKey([this](const OperatorKey &, const httplib::Request &,
+                                 httplib::Response &response) {
                    response.set_content(context.stateDump ? context.stateDump() : "{}", JsonType);
                }));
 }
 
-void OperatorServer::Private::addOpenRoutes()
+void OperatorServer::Private::addPublicRoutes()
 {
     server.Get("/metrics", [this](const httplib::Request &, httplib::Response &response) {
         response.set_content(metricsText(), "text/plain; version=0.0.4");
@@ -211,10 +215,9 @@
         response.set_content("ok\n", "text/plain");
     });
     server.Get("/readyz", [this](const httplib::Request &, httplib::Response &response) {
-        const std::string trouble =
-                notReadyReason(*context.fleet.current(), context.board.status());
-        response.status = trouble.empty() ? 200 : 503;
-        response.set_content((trouble.empty() ? "ready" : trouble) + "\n", "text/plain");
+        const std::string reason = notReadyReason(*context.fleet.current(), context.board.status());
+        response.status = reason.empty() ? 200 : 503;
+        response.set_content((reason.empty() ? "ready" : reason) + "\n", "text/plain");
     });
 }
 
@@ -224,9 +227,9 @@
     httplib::Server &server = m_private->server;
     server.new_task_queue = [] { return new httplib::ThreadPool(OperatorThreads); };
     server.set_tcp_nodelay(true);
-    server.set_payload_max_length(MostBodyBytes);
+    server.set_payload_max_length(MaxBodyBytes);
     m_private->addOperatorRoutes();
-    m_private->addOpenRoutes();
+    m_private->addPublicRoutes();
 }
 
 OperatorServer::~OperatorServer() = default;
--- a/src/vanilladyke/operators/publisher.cpp
+++ b/src/vanilladyke/operators/publisher.cpp
@@ -23,8 +23,8 @@
     return header.parent == accepted->entry.digest;
 }
 
-/// Everything that can be said without the log. None if the bundle may be appended.
-std::optional<PublishResult> judgeBeforeAppend(PublishResult result, const SignedBundle &bundle,
+/// Runs all checks that need no access to the log. Returns nullopt if the bundle may be appended.
+std::optional<PublishResult> checkBeforeAppend(PublishResult result, const SignedBundle &bundle,
                                                const BundleHeader &header,
                                                const PublishSettings &settings,
                                                const BundleStatus &status)
@@ -110,8 +110,8 @@
     }
     result.version = header->version;
     result.digest = digestOf(bundle->text);
-    if (auto judged = judgeBeforeAppend(result, *bundle, *header, settings, status)) {
-        return std::move(*judged);
+    if (auto decided = checkBeforeAppend(result, *bundle, *header, settings, status)) {
+        return std::move(*decided);
     }
     if (!settings.log) {
         result.outcome = PublishOutcome::LogDown;
@@ -123,16 +123,16 @@
     record.bundle = *bundle;
     LogClient log(*settings.log, BundleStream);
     const auto offset = log.append(writeBundleRecord(record), deadline);
-    const bool impossible = !offset
-                            && (offset.error().error == LogError::NotSent
-                                || offset.error().error == LogError::Refused);
-    if (impossible) {
+    const bool notAppended = !offset
+                             && (offset.error().error == LogError::NotSent
+                                 || offset.error().error == LogError::Refused);
+    if (notAppended) {
         result.outcome = PublishOutcome::LogDown;
         result.detail = offset.error().detail;
         return result;
     }
-    // With the answer lost the record may or may not be in the log. Appending again would be a
-    // guess; the record's nonce, when the log is read, is the proof.
+    // If the response was lost, the record may or may not be in the log. Appending it again could
+    // duplicate it; only finding its nonce when the log is read back settles the question.
     const auto note = board.verdict(record.nonce, result.digest, deadline);
     if (!note) {
         result.outcome = PublishOutcome::Unknown;
