--- a/include/vanilladyke/peers/codec.hpp
+++ b/include/vanilladyke/peers/codec.hpp
@@ -7,23 +7,23 @@
 #include <string>
 #include <string_view>
 
-/// Peer messages as protobuf; proto/peers.proto is the form.
+/// Protobuf encoding of peer messages; the schema is proto/peers.proto.
 namespace vanilladyke {
 
-/// @brief Why bytes are no peer message, for the log.
+/// @brief Reason why decoding failed, for the log.
 struct DecodeError
 {
     std::string reason;
 };
 
-/// @brief The longest message that is read; a longer one is refused unread.
+/// @brief Maximum size of a message in bytes; larger messages are rejected without parsing.
 inline constexpr std::size_t MostMessageBytes = 1U << 20U;
 
 [[nodiscard]] std::string encode(const PeerMessage &message);
-/// @brief Reads and checks a message: every name present, every number in range.
+/// @brief Parses and validates a message: names must be present and numbers in range.
 [[nodiscard]] Outcome<PeerMessage, DecodeError> decode(std::string_view bytes);
 
-/// @brief An item of a cache view's snapshot.
+/// @brief Encodes one item of a cache view snapshot.
 [[nodiscard]] std::string encode(const CacheEntry &entry);
 [[nodiscard]] Outcome<CacheEntry, DecodeError> decodeCacheEntry(std::string_view bytes);
 
--- a/include/vanilladyke/peers/peer_transport.hpp
+++ b/include/vanilladyke/peers/peer_transport.hpp
@@ -8,46 +8,46 @@
 #include <optional>
 #include <string>
 
-/// Carries peer messages over ZeroMQ, encrypted and authenticated with CURVE.
+/// Peer messaging over ZeroMQ, encrypted and authenticated with CURVE.
 ///
-/// All nodes of a fleet hold one key pair from their settings: whoever proves that it has the
-/// secret key is a peer. A pair for each node would need a directory of keys that changes with 890
-/// restarts a day and has to be agreed on; it was weighed and not taken. To change the pair,
-/// settings name the old public key as accepted besides, until the last host has the new one.
+/// All nodes of a fleet share one key pair from their settings; a client that proves possession of
+/// the secret key is accepted as a peer. Key pairs per node would need a consistent key directory
+/// that changes with 890 restarts a day. For key rotation, settings list the former public key as
+/// also accepted until the last host has the new pair.
 namespace vanilladyke {
 
-/// @brief A CURVE key pair in ZeroMQ's Z85 form, 40 characters each.
+/// @brief A CURVE key pair in ZeroMQ's Z85 encoding, 40 characters each.
 struct PeerKeys
 {
     std::string publicKey;
     std::string secretKey;
-    std::string formerPublicKey; ///< accepted besides; empty for none
+    std::string formerPublicKey; ///< also accepted, for key rotation; empty for none
 };
 
-/// @brief Makes a fresh pair.
+/// @brief Generates a new key pair.
 [[nodiscard]] PeerKeys newPeerKeys();
-/// @brief Whether the text is a key in Z85 form.
+/// @brief Whether the text is a valid key in Z85 encoding.
 [[nodiscard]] bool isPeerKey(const std::string &text);
 
-/// @brief The public key that belongs to a secret one; empty if the text is no key.
+/// @brief Derives the public key of a secret key; empty if the text is not a valid key.
 [[nodiscard]] std::string publicPeerKey(const std::string &secretKey);
 
-/// @brief What went over the wire so far.
+/// @brief Traffic counters since the transport was created.
 struct TransportCounts
 {
     std::uint64_t messagesOut = 0;
-    std::uint64_t bytesOut = 0; ///< of messages, without ZeroMQ's and TCP's framing
+    std::uint64_t bytesOut = 0; ///< payload only, without ZeroMQ and TCP framing
     std::uint64_t messagesIn = 0;
     std::uint64_t bytesIn = 0;
-    std::uint64_t malformed = 0; ///< messages that could not be read
-    std::uint64_t replaced = 0;  ///< connections given up for silence, to be opened anew
+    std::uint64_t malformed = 0; ///< messages that could not be decoded
+    std::uint64_t replaced = 0;  ///< connections closed because the peer did not answer
 };
 
-/// @brief The sockets of one node, on a thread of their own.
+/// @brief Owns the sockets of one node and runs them on a dedicated thread.
 class PeerTransport
 {
 public:
-    /// @brief Called on the transport's thread for each message read.
+    /// @brief Called on the transport thread for each decoded message.
     using Receiver = std::function<void(PeerMessage message, ReplyRoute route)>;
 
     PeerTransport(PeerKeys keys, Receiver receiver);
@@ -55,9 +55,9 @@
     PeerTransport &operator=(const PeerTransport &) = delete;
     ~PeerTransport();
 
-    /// @brief Takes the address and starts. @return why not, if it can't
+    /// @brief Binds to the address and starts the thread. @return the error if binding failed
     [[nodiscard]] std::optional<std::string> start(const Endpoint &endpoint);
-    /// @brief Sends a message as soon as the thread comes to it; any thread may call.
+    /// @brief Queues a message for the transport thread. Thread-safe.
     void send(Outgoing outgoing);
     [[nodiscard]] TransportCounts counts() const;
 
--- a/src/vanilladyke/peers/codec.cpp
+++ b/src/vanilladyke/peers/codec.cpp
@@ -133,9 +133,9 @@
         return true;
     case wire::PeerMessage::kPingRequest: {
         PingRequest request{in.ping_request().sequence(), {}};
-        const bool whole = read(in.ping_request().target(), &request.target);
+        const bool valid = read(in.ping_request().target(), &request.target);
         out->body = std::move(request);
-        return whole;
+        return valid;
     }
     case wire::PeerMessage::kSnapshotRequest:
         out->body = SnapshotRequest{
@@ -179,31 +179,31 @@
 Outcome<PeerMessage, DecodeError> decode(std::string_view bytes)
 {
     if (bytes.size() > MostMessageBytes) {
-        return failure(DecodeError{"too long"});
+        return failure(DecodeError{"message exceeds the size limit"});
     }
     wire::PeerMessage in;
-    // The library writes its own lines about damaged bytes, which are no key=value pairs.
+    // protobuf logs parse errors itself, in lines that are not key=value pairs.
     const google::protobuf::LogSilencer silencer;
     if (!in.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
-        return failure(DecodeError{"no protobuf of this form"});
+        return failure(DecodeError{"not a valid protobuf peer message"});
     }
     PeerMessage message;
     if (!read(in.from(), &message.from)) {
-        return failure(DecodeError{"the sender is malformed"});
+        return failure(DecodeError{"sender is malformed"});
     }
     for (const wire::Member &member : in.news()) {
         if (!read(member, &message.news.emplace_back())) {
-            return failure(DecodeError{"news of a node is malformed"});
+            return failure(DecodeError{"membership update is malformed"});
         }
     }
     for (const std::string &engine : in.leaving_engines()) {
         message.leavingEngines.emplace_back(engine);
     }
     if (!read(in, &message.load)) {
-        return failure(DecodeError{"the load is malformed"});
+        return failure(DecodeError{"load is malformed"});
     }
     if (!readBody(in, &message)) {
-        return failure(DecodeError{"the body is missing or malformed"});
+        return failure(DecodeError{"body is missing or malformed"});
     }
     return message;
 }
@@ -227,7 +227,7 @@
     const google::protobuf::LogSilencer silencer;
     if (bytes.size() > MostMessageBytes
         || !in.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
-        return failure(DecodeError{"no cache entry"});
+        return failure(DecodeError{"not a valid cache entry"});
     }
     return CacheEntry{EngineKey{in.engine()},
                       Incarnation{in.incarnation()},
--- a/src/vanilladyke/peers/codec_test.cpp
+++ b/src/vanilladyke/peers/codec_test.cpp
@@ -40,8 +40,8 @@
     EXPECT_EQ(piece.items, (std::vector<std::string>{"a", std::string(1, '\0')}));
 }
 
-// A peer of another version, or a port scanner, sends bytes that are no message. A node that
-// trusted them would crash, and all its callers' streams with it.
+// Guards against a crash on bytes that are not a valid message, as a peer of another version or a
+// port scanner sends them. A crash would end the streams of all callers.
 RC_GTEST_PROP(Codec, NeverCrashesOnForeignBytes, (const std::string &bytes))
 {
     const auto read = decode(bytes);
--- a/src/vanilladyke/peers/curve_gate.cpp
+++ b/src/vanilladyke/peers/curve_gate.cpp
@@ -35,15 +35,15 @@
     if (!received) {
         return;
     }
-    const bool whole = frames.size() >= FrameCount && frames[Mechanism].to_string() == "CURVE";
-    const bool accepted = whole && accepts(frames[Key].to_string());
+    const bool wellFormed = frames.size() >= FrameCount && frames[Mechanism].to_string() == "CURVE";
+    const bool accepted = wellFormed && accepts(frames[Key].to_string());
     if (!accepted) {
         LogEvent("peer_refused", Severity::Warning)
-                .field("address", whole ? frames[Address].to_string() : "unknown")
-                .field("reason", "its key is not the fleet's");
+                .field("address", wellFormed ? frames[Address].to_string() : "unknown")
+                .field("reason", "client key is not accepted by the fleet");
     }
     const std::string version = frames.empty() ? "1.0" : frames[Version].to_string();
-    const std::string request = whole ? frames[RequestId].to_string() : "";
+    const std::string request = wellFormed ? frames[RequestId].to_string() : "";
     const std::array<zmq::const_buffer, 6> reply{
             zmq::buffer(version),
             zmq::buffer(request),
--- a/src/vanilladyke/peers/curve_gate.hpp
+++ b/src/vanilladyke/peers/curve_gate.hpp
@@ -6,16 +6,16 @@
 
 namespace vanilladyke {
 
-/// @brief Answers ZeroMQ's question, asked by the ZAP protocol (ZeroMQ RFC 27), whether a client
-/// key may connect.
+/// @brief ZAP handler (ZeroMQ RFC 27) that accepts or rejects connections by their CURVE client
+/// key.
 class CurveGate
 {
 public:
     CurveGate(zmq::context_t &context, std::vector<std::string> acceptedKeys);
 
-    /// @brief To be polled together with the other sockets.
+    /// @brief Socket to poll for ZAP requests.
     [[nodiscard]] zmq::socket_ref socket() { return m_socket; }
-    /// @brief Answers one question that is waiting.
+    /// @brief Answers one pending ZAP request.
     void answer();
 
 private:
--- a/src/vanilladyke/peers/peer_transport.cpp
+++ b/src/vanilladyke/peers/peer_transport.cpp
@@ -24,17 +24,17 @@
 
 constexpr std::size_t BinaryKeyBytes = 32;
 constexpr std::size_t TextKeyBytes = 40;
-/// Few: what waits for a peer that does not read is stale news by the time it does.
-constexpr int MostWaitingMessages = 64;
-/// A connection over which we sent and heard nothing for so long is replaced. Something between the
-/// two ends may have lost track of it while new connections work; TCP alone would find out only
-/// after many minutes, and the peer would count as dead all that time.
-constexpr Duration SilenceOfALostConnection = std::chrono::milliseconds(1500);
-/// Connections that were not used for so long are closed. Among 410 nodes each would otherwise hold
-/// a connection to every other, 61 KB each; with four probes a second this bounds them to 120, and
-/// among nine nodes no connection is ever idle for so long.
-constexpr Duration IdleConnection = std::chrono::seconds(30);
-constexpr std::chrono::milliseconds PollFor{250};
+/// Kept small: messages queued for a peer that does not read are stale when they are delivered.
+constexpr int MaxQueuedMessages = 64;
+/// A connection is replaced if messages were sent on it and none was received for this long. A
+/// device on the path may have dropped its connection state while new connections work. TCP alone
+/// detects this only after many minutes, and the peer would count as dead all that time.
+constexpr Duration UnansweredTimeout = std::chrono::milliseconds(1500);
+/// Connections that were not used for this long are closed. Among 410 nodes each node would
+/// otherwise hold a connection to every other, at 61 KB each. With four probes a second this limits
+/// them to 120 connections; among nine nodes no connection is ever idle for this long.
+constexpr Duration IdleTimeout = std::chrono::seconds(30);
+constexpr std::chrono::milliseconds PollTimeout{250};
 
 std::string addressOf(const Endpoint &endpoint)
 {
@@ -43,15 +43,15 @@
     return "tcp://" + host + ":" + std::to_string(endpoint.port);
 }
 
-/// A connection that this node opened.
+/// An outgoing connection.
 struct Link
 {
     zmq::socket_t socket;
     TimePoint lastUse;
-    TimePoint unansweredSince = TimePoint::max(); ///< first message sent since we last heard
+    TimePoint unansweredSince = TimePoint::max(); ///< first message sent since the last receipt
 };
 
-/// The counts as the transport's thread writes them and others read them.
+/// Counters, written by the transport thread and read by other threads.
 struct Counters
 {
     std::atomic<std::uint64_t> messagesOut{0};
@@ -106,13 +106,13 @@
 
     void run(const std::stop_token &stop);
     void pollOnce();
-    void sendWaiting();
+    void sendQueued();
     void sendTo(const Outgoing &outgoing);
     Link &linkTo(const Endpoint &endpoint);
     void readRouter();
     void readLink(Link &link);
     void deliver(const zmq::message_t &frame, ReplyRoute route);
-    void replaceSilentLinks();
+    void closeUnresponsiveAndIdleLinks();
 
     PeerKeys keys;
     Receiver receiver;
@@ -120,11 +120,11 @@
     CurveGate gate;
     zmq::socket_t router;
     int wake;
-    std::map<Endpoint, Link> links; ///< the transport's thread only
+    std::map<Endpoint, Link> links; ///< accessed by the transport thread only
     Counters counters;
 
     std::mutex mutex;
-    std::vector<Outgoing> waiting;
+    std::vector<Outgoing> queued;
     std::jthread thread;
 };
 
@@ -154,7 +154,7 @@
         polled.push_back(&link);
     }
     const std::size_t fixed = items.size() - polled.size();
-    zmq::poll(items, PollFor);
+    zmq::poll(items, PollTimeout);
     if (items[1].revents != 0) {
         gate.answer();
     }
@@ -167,19 +167,19 @@
         }
     }
     if (items[0].revents != 0) {
-        sendWaiting();
+        sendQueued();
     }
-    replaceSilentLinks();
+    closeUnresponsiveAndIdleLinks();
 }
 
-void PeerTransport::Private::sendWaiting()
+void PeerTransport::Private::sendQueued()
 {
     std::uint64_t wakes = 0;
     static_cast<void>(read(wake, &wakes, sizeof wakes));
     std::vector<Outgoing> batch;
     {
         const std::lock_guard lock(mutex);
-        batch.swap(waiting);
+        batch.swap(queued);
     }
     for (const Outgoing &outgoing : batch) {
         sendTo(outgoing);
@@ -191,18 +191,18 @@
     const std::string bytes = encode(outgoing.message);
     ++counters.messagesOut;
     counters.bytesOut += bytes.size();
-    const auto none = zmq::send_flags::dontwait;
+    const auto flags = zmq::send_flags::dontwait;
     if (const auto *route = std::get_if<ReplyRoute>(&outgoing.to)) {
         const std::array<zmq::const_buffer, 2> frames{zmq::buffer(route->identity),
                                                       zmq::buffer(bytes)};
-        static_cast<void>(zmq::send_multipart(router, frames, none));
+        static_cast<void>(zmq::send_multipart(router, frames, flags));
         return;
     }
     Link &link = linkTo(std::get<Endpoint>(outgoing.to));
     const TimePoint now = MonotonicClock::now();
     link.lastUse = now;
     link.unansweredSince = std::min(link.unansweredSince, now);
-    static_cast<void>(link.socket.send(zmq::buffer(bytes), none));
+    static_cast<void>(link.socket.send(zmq::buffer(bytes), flags));
 }
 
 Link &PeerTransport::Private::linkTo(const Endpoint &endpoint)
@@ -213,8 +213,8 @@
     }
     zmq::socket_t socket(context, zmq::socket_type::dealer);
     socket.set(zmq::sockopt::linger, 0);
-    socket.set(zmq::sockopt::sndhwm, MostWaitingMessages);
-    socket.set(zmq::sockopt::rcvhwm, MostWaitingMessages);
+    socket.set(zmq::sockopt::sndhwm, MaxQueuedMessages);
+    socket.set(zmq::sockopt::rcvhwm, MaxQueuedMessages);
     socket.set(zmq::sockopt::curve_serverkey, keys.publicKey);
     socket.set(zmq::sockopt::curve_publickey, keys.publicKey);
     socket.set(zmq::sockopt::curve_secretkey, keys.secretKey);
@@ -258,15 +258,15 @@
     receiver(std::move(*message), std::move(route));
 }
 
-void PeerTransport::Private::replaceSilentLinks()
+void PeerTransport::Private::closeUnresponsiveAndIdleLinks()
 {
     const TimePoint now = MonotonicClock::now();
     std::erase_if(links, [&](const auto &entry) {
         const Link &link = entry.second;
         const bool unanswered = link.unansweredSince != TimePoint::max()
-                                && now - link.unansweredSince > SilenceOfALostConnection;
+                                && now - link.unansweredSince > UnansweredTimeout;
         counters.replaced += unanswered ? 1 : 0;
-        return unanswered || now - link.lastUse > IdleConnection;
+        return unanswered || now - link.lastUse > IdleTimeout;
     });
 }
 
@@ -288,7 +288,7 @@
     zmq::socket_t &router = m_private->router;
     try {
         router.set(zmq::sockopt::linger, 0);
-        router.set(zmq::sockopt::sndhwm, MostWaitingMessages);
+        router.set(zmq::sockopt::sndhwm, MaxQueuedMessages);
         router.set(zmq::sockopt::maxmsgsize, static_cast<std::int64_t>(MostMessageBytes));
         router.set(zmq::sockopt::curve_server, 1);
         router.set(zmq::sockopt::curve_secretkey, m_private->keys.secretKey);
@@ -305,7 +305,7 @@
 {
     {
         const std::lock_guard lock(m_private->mutex);
-        m_private->waiting.push_back(std::move(outgoing));
+        m_private->queued.push_back(std::move(outgoing));
     }
     signalWake(m_private->wake);
 }
--- a/src/vanilladyke/peers/peer_transport_test.cpp
+++ b/src/vanilladyke/peers/peer_transport_test.cpp
@@ -11,9 +11,9 @@
 namespace vanilladyke {
 namespace {
 
-constexpr std::chrono::seconds Patience{30};
+constexpr std::chrono::seconds ReceiveTimeout{30};
 
-Member named(const std::string &node)
+Member memberOf(const std::string &node)
 {
     Member member;
     member.node = NodeId(node);
@@ -22,10 +22,10 @@
 
 PeerMessage ping(const std::string &from, std::uint64_t sequence)
 {
-    return {named(from), {}, {}, Ping{sequence}};
+    return {memberOf(from), {}, {}, Ping{sequence}};
 }
 
-/// Collects what a transport receives.
+/// Collects the messages that a transport receives.
 class Mailbox
 {
 public:
@@ -41,7 +41,7 @@
     std::vector<Outgoing> waitFor(std::size_t count)
     {
         std::unique_lock lock(m_mutex);
-        m_filled.wait_for(lock, Patience, [&] { return m_received.size() >= count; });
+        m_filled.wait_for(lock, ReceiveTimeout, [&] { return m_received.size() >= count; });
         return m_received;
     }
 
@@ -51,8 +51,8 @@
     std::vector<Outgoing> m_received;
 };
 
-/// Binds to the first free port from a fixed start.
-Endpoint startAnywhere(PeerTransport &transport)
+/// Binds to the first free port, counting up from a fixed one.
+Endpoint startOnFreePort(PeerTransport &transport)
 {
     for (std::uint16_t port = 23'000; port < 24'000; ++port) {
         Endpoint endpoint{"127.0.0.1", port};
@@ -71,27 +71,27 @@
     Mailbox mailboxB;
     PeerTransport a(keys, mailboxA.receiver());
     PeerTransport b(keys, mailboxB.receiver());
-    startAnywhere(a);
-    const Endpoint endpointB = startAnywhere(b);
+    startOnFreePort(a);
+    const Endpoint endpointB = startOnFreePort(b);
     a.send({endpointB, ping("a", 7)});
     const auto atB = mailboxB.waitFor(1);
     ASSERT_EQ(atB.size(), 1U);
     EXPECT_EQ(std::get<Ping>(atB[0].message.body).sequence, 7U);
-    b.send({std::get<ReplyRoute>(atB[0].to), {named("b"), {}, {}, Ack{7}}});
+    b.send({std::get<ReplyRoute>(atB[0].to), {memberOf("b"), {}, {}, Ack{7}}});
     const auto atA = mailboxA.waitFor(1);
     ASSERT_EQ(atA.size(), 1U);
     EXPECT_EQ(std::get<Ack>(atA[0].message.body).sequence, 7U);
     EXPECT_GT(a.counts().bytesOut, 0U);
 }
 
-// A process that is no node of the fleet, though it knows the public key, talks to the peers' port.
-// If it were heard it could declare every node dead and engines leaving.
-TEST(PeerTransport, HearsNobodyWithoutTheFleetsSecretKey)
+// Guards against accepting a process that knows the public key but not the secret key of the fleet.
+// It could declare every node dead and engines leaving.
+TEST(PeerTransport, RejectsClientsWithoutTheFleetsSecretKey)
 {
     const PeerKeys keys = newPeerKeys();
     Mailbox mailbox;
     PeerTransport node(keys, mailbox.receiver());
-    const Endpoint endpoint = startAnywhere(node);
+    const Endpoint endpoint = startOnFreePort(node);
 
     const PeerKeys stranger = newPeerKeys();
     zmq::context_t context;
@@ -111,16 +111,16 @@
     zmq::message_t refused;
     ASSERT_TRUE(monitor.recv(refused).has_value());
 
-    Mailbox friendly;
-    PeerTransport peer(keys, friendly.receiver());
-    startAnywhere(peer);
+    Mailbox peerMailbox;
+    PeerTransport peer(keys, peerMailbox.receiver());
+    startOnFreePort(peer);
     peer.send({endpoint, ping("peer", 1)});
-    const auto heard = mailbox.waitFor(1);
-    ASSERT_EQ(heard.size(), 1U);
-    EXPECT_EQ(heard[0].message.from.node, NodeId("peer"));
+    const auto received = mailbox.waitFor(1);
+    ASSERT_EQ(received.size(), 1U);
+    EXPECT_EQ(received[0].message.from.node, NodeId("peer"));
 }
 
-TEST(PeerKeys, AreTellable)
+TEST(PeerKeys, AreValidated)
 {
     EXPECT_TRUE(isPeerKey(newPeerKeys().publicKey));
     EXPECT_FALSE(isPeerKey("short"));
