--- a/include/vanilladyke/platform/backend_client.hpp
+++ b/include/vanilladyke/platform/backend_client.hpp
@@ -11,24 +11,24 @@
 enum class Error;
 } // namespace httplib
 
-/// HTTP clients towards backend servers, plain or with TLS.
+/// HTTP clients for backend servers, with or without TLS.
 namespace vanilladyke {
 
-/// @brief How backend servers are reached.
+/// @brief TLS settings for connections to backend servers.
 struct BackendTls
 {
-    std::string authorityFile; ///< PEM file of the authorities that sign them; empty: no TLS
+    std::string authorityFile; ///< PEM file of the trusted certificate authorities; empty: no TLS
 
     [[nodiscard]] bool enabled() const { return !authorityFile.empty(); }
 };
 
-/// @brief A client of one backend server. With TLS its certificate must be signed by an authority
-/// of the file and name the endpoint's IP number.
+/// @brief Creates a client for one backend server. With TLS, the server's certificate must be
+/// signed by one of the trusted authorities and contain the endpoint's IP address.
 [[nodiscard]] std::unique_ptr<httplib::Client> makeBackendClient(const Endpoint &backend,
                                                                  const BackendTls &tls);
 
-/// @brief Whether a call that ended with this error left no byte on the way: no connection, or a
-/// handshake that failed.
+/// @brief Whether the error shows that no byte of the request was sent: the connection or the TLS
+/// handshake failed.
 [[nodiscard]] bool failedBeforeSending(httplib::Error error);
 
 } // namespace vanilladyke
--- a/include/vanilladyke/platform/host_list.hpp
+++ b/include/vanilladyke/platform/host_list.hpp
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <vector>
 
-/// The platform's host list.
+/// Client for the platform's host list.
 ///
 /// Protocol (HTTP/1.1, JSON):
 ///   GET /v1/hosts
@@ -17,29 +17,30 @@
 ///                        "state": "live" | "leaving"}]}
 namespace vanilladyke {
 
-/// @brief What runs on a host.
+/// @brief Kind of process that runs on a host.
 enum class HostKind { Entry, Backend };
 
-/// @brief One process as the host list shows it.
+/// @brief One entry of the host list.
 struct ListedHost
 {
-    Endpoint endpoint; ///< of an entry host, where its peers reach it
+    Endpoint endpoint; ///< for an entry host, its address for peers
     HostKind kind = HostKind::Backend;
     bool leaving = false;
 
     bool operator==(const ListedHost &) const = default;
 };
 
-/// @brief Reads the list's answer. @return why it is none of the protocol's
+/// @brief Parses the response body. @return the error if it violates the protocol
 [[nodiscard]] Outcome<std::vector<ListedHost>, std::string> parseHostList(std::string_view body);
 
-/// @brief Asks for the host list. Each thread needs a client of its own.
+/// @brief Fetches the host list. Not thread-safe; each thread needs its own client.
 class HostListClient
 {
 public:
     explicit HostListClient(const Endpoint &endpoint);
 
-    /// @brief The list now. @return the reason if there is no answer by the deadline
+    /// @brief Fetches the current list. @return the error if there is no valid response by the
+    /// deadline
     [[nodiscard]] Outcome<std::vector<ListedHost>, std::string> read(TimePoint deadline);
 
 private:
--- a/include/vanilladyke/platform/http_call.hpp
+++ b/include/vanilladyke/platform/http_call.hpp
@@ -9,29 +9,31 @@
 #include <string>
 #include <string_view>
 
-/// Small HTTP calls under one deadline, for the clients of the platform and for orders.
+/// HTTP calls with an overall deadline, for the platform clients and for orders to engines.
 namespace vanilladyke {
 
 inline constexpr int ServiceUnavailable = 503;
 
-/// @brief What a server answered.
+/// @brief Response of a server.
 struct HttpAnswer
 {
     int status = 0;
     std::string body;
 };
 
-/// @brief Why there is no answer.
+/// @brief Reason why there is no response.
 struct HttpFailure
 {
-    bool sent = false; ///< bytes of the call may have left; if not, it can't have taken effect
+    bool sent = false; ///< bytes may have been sent; if false, the call cannot have taken effect
     std::string detail;
 };
 
-/// @brief How long a server may hold an answer back so that it still arrives by the deadline.
+/// @brief Longest time that a server may delay its response (long polling) so that it still
+/// arrives by the deadline.
 [[nodiscard]] Duration longestWait(TimePoint deadline, TimePoint now);
 
-/// @brief Calls one server over one connection that is kept open. Each thread needs its own.
+/// @brief Calls one server over a persistent connection. Not thread-safe except for cancel(); each
+/// thread needs its own caller.
 class HttpCaller
 {
 public:
@@ -45,9 +47,9 @@
                                                         std::string_view body,
                                                         const std::string &contentType,
                                                         TimePoint deadline);
-    /// @brief Breaks off a call that is under way; any thread may call.
+    /// @brief Cancels a call in progress. Thread-safe.
     void cancel();
-    /// @brief Sends this bearer key with every call from now on.
+    /// @brief Sets the bearer key that is sent with all subsequent calls.
     void setBearer(const std::string &key);
 
 private:
--- a/include/vanilladyke/platform/log_client.hpp
+++ b/include/vanilladyke/platform/log_client.hpp
@@ -10,7 +10,7 @@
 #include <string>
 #include <string_view>
 
-/// The platform's append-only log.
+/// Client for the platform's append-only log.
 ///
 /// Protocol (HTTP/1.1, JSON):
 ///   POST /v1/logs/{stream}/records           body: the record's bytes
@@ -18,20 +18,20 @@
 ///   GET  /v1/logs/{stream}/records?from=N&limit=M&wait_ms=W
 ///        200 {"first_offset": F, "next_offset": E,
 ///             "records": [{"offset": N, "appended_at_ms": T, "data": "BASE64"}]}
-///        F is the oldest record still kept, E the offset that the next append will get; with
-///        wait_ms the answer is held back until there is a record at `from`, or the time is over.
-///        `from` below F reads on from F.
+///        F is the offset of the oldest retained record, E the offset of the next append. With
+///        wait_ms the response is delayed until there is a record at `from` or W ms have passed.
+///        If `from` is below F, reading starts at F.
 namespace vanilladyke {
 
-/// @brief Why the log gave no answer.
+/// @brief Reason why a call to the log failed.
 enum class LogError {
-    NotSent,    ///< no byte left: the append has not happened
-    Unanswered, ///< sent, but no answer came: the append may have happened
-    Refused,    ///< the log said no: the append has not happened
-    Malformed,  ///< an answer that is none of the protocol's; for an append: may have happened
+    NotSent,    ///< no byte was sent: the append has not happened
+    Unanswered, ///< sent, but no response arrived: the append may have happened
+    Refused,    ///< the log rejected the call: the append has not happened
+    Malformed,  ///< the response violates the protocol: an append may have happened
 };
 
-/// @brief The error with the words for the log line.
+/// @brief An error with details for the log line.
 struct LogFailure
 {
     LogError error = LogError::NotSent;
@@ -40,13 +40,13 @@
 
 [[nodiscard]] std::string_view toString(LogError error);
 
-/// @brief Reads the log's answer to an append. @return Malformed if it is none of the protocol's
+/// @brief Parses the response to an append. @return Malformed if it violates the protocol
 [[nodiscard]] Outcome<LogOffset, LogFailure> parseAppendAnswer(std::string_view body);
-/// @brief Reads one page. @return Malformed if it is none of the protocol's
+/// @brief Parses one page of records. @return Malformed if it violates the protocol
 [[nodiscard]] Outcome<LogPage, LogFailure> parseLogPage(std::string_view body);
 
-/// @brief Anything that appends to and reads from one stream: the HTTP client, or a fake in tests.
-/// Both calls block until they are answered or the deadline has passed.
+/// @brief Appends to and reads from one stream; modelled by the HTTP client and by fakes in tests.
+/// Both calls block until there is a response or the deadline has passed.
 template <typename T>
 concept LogStream = requires(T &log, std::string_view data, LogOffset from, TimePoint deadline)
 {
@@ -58,21 +58,24 @@
         } -> std::same_as<Outcome<LogPage, LogFailure>>;
 };
 
-/// @brief One stream of the platform's log over HTTP. Each thread needs a client of its own.
+/// @brief HTTP client for one stream of the platform's log. Not thread-safe except for cancel();
+/// each thread needs its own client.
 class LogClient
 {
 public:
-    /// @param stream the stream's name, such as "bundles" or "claims"
+    /// @param stream name of the stream, such as "bundles" or "claims"
     LogClient(const Endpoint &endpoint, std::string stream);
     LogClient(LogClient &&) noexcept;
     LogClient &operator=(LogClient &&) noexcept;
     ~LogClient();
 
-    /// @brief Appends one record. @return its offset, or whether it may have happened all the same
+    /// @brief Appends one record. @return its offset, or an error that shows whether the append may
+    /// have happened
     [[nodiscard]] Outcome<LogOffset, LogFailure> append(std::string_view data, TimePoint deadline);
-    /// @brief Reads from an offset on; waits for a record until shortly before the deadline.
+    /// @brief Reads records starting at an offset; waits for a record until shortly before the
+    /// deadline.
     [[nodiscard]] Outcome<LogPage, LogFailure> read(LogOffset from, TimePoint deadline);
-    /// @brief Breaks off a call that is under way, for a stop; any thread may call.
+    /// @brief Cancels a call in progress, for shutdown. Thread-safe.
     void cancel();
 
 private:
--- a/src/vanilladyke/platform/host_list_test.cpp
+++ b/src/vanilladyke/platform/host_list_test.cpp
@@ -16,8 +16,8 @@
                                                {{"127.0.0.1", 81}, HostKind::Backend, true}}));
 }
 
-// Half a list would make live engines look as if they had gone; so it is all or nothing.
-TEST(HostList, RefusesAnythingElseWhole)
+// Guards against accepting part of a malformed list: live engines would appear to be gone.
+TEST(HostList, RejectsMalformedListsAsAWhole)
 {
     for (const char *body :
          {"", "null", "[]", "{}", R"({"hosts": 1})", R"({"hosts": [1]})", R"({"hosts": [{}]})",
--- a/src/vanilladyke/platform/http_call.cpp
+++ b/src/vanilladyke/platform/http_call.cpp
@@ -9,13 +9,14 @@
 
 namespace {
 
-/// What is left of the deadline is spent on: connecting, one margin; waiting for the answer, the
-/// rest. A server that holds back its answer stops another margin before the end.
-constexpr Duration MostMargin = std::chrono::milliseconds(500);
+/// The time left until the deadline is split: one margin for connecting, the rest for waiting for
+/// the response. A server that delays its response (long polling) has to end one further margin
+/// earlier.
+constexpr Duration MaxMargin = std::chrono::milliseconds(500);
 
 Duration marginOf(Duration left)
 {
-    return std::min(left / 4, MostMargin);
+    return std::min(left / 4, MaxMargin);
 }
 
 } // namespace
@@ -54,8 +55,8 @@
     if (!bearer.empty()) {
         request.set_header("Authorization", "Bearer " + bearer);
     }
-    // The library's time-outs hold for each piece that arrives. An answer that drips would last
-    // beyond any deadline; so each piece is checked against it.
+    // httplib applies its time-outs to each chunk. A response that arrives in slow small chunks
+    // would exceed any deadline, so the deadline is checked for each chunk.
     request.progress = [deadline](std::uint64_t, std::uint64_t) {
         return MonotonicClock::now() < deadline;
     };
--- a/src/vanilladyke/platform/log_client.cpp
+++ b/src/vanilladyke/platform/log_client.cpp
@@ -12,10 +12,10 @@
 constexpr int Created = 201;
 constexpr int Ok = 200;
 constexpr int FirstServerError = 500;
-constexpr std::uint32_t RecordsAtOnce = 512;
+constexpr std::uint32_t MaxRecordsPerPage = 512;
 
-/// A proxy in between may have lost the answer of a call that took effect, so that a server error
-/// proves nothing; only a refusal by the log itself does.
+/// A proxy may have lost the response to a call that took effect, so a server error does not show
+/// whether the append happened; only a rejection by the log itself does.
 LogFailure failureOf(const HttpAnswer &answer)
 {
     const std::string detail = "status " + std::to_string(answer.status);
@@ -91,7 +91,7 @@
 struct LogClient::Private
 {
     HttpCaller http;
-    std::string records; ///< the path of the stream's records
+    std::string records; ///< URL path of the stream's records
 };
 
 LogClient::LogClient(const Endpoint &endpoint, std::string stream)
@@ -126,7 +126,7 @@
     const auto wait = std::chrono::duration_cast<std::chrono::milliseconds>(
             longestWait(deadline, MonotonicClock::now()));
     const std::string path = m_private->records + "?from=" + std::to_string(from)
-                             + "&limit=" + std::to_string(RecordsAtOnce)
+                             + "&limit=" + std::to_string(MaxRecordsPerPage)
                              + "&wait_ms=" + std::to_string(wait.count());
     const auto answer = m_private->http.get(path, deadline);
     if (!answer) {
--- a/src/vanilladyke/platform/log_client_test.cpp
+++ b/src/vanilladyke/platform/log_client_test.cpp
@@ -18,11 +18,11 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// A loopback port that is held but not listened on, so that connections are refused.
-class BoundButDeafPort
+/// A loopback port that is bound but not listening, so that connections are refused.
+class BoundNotListeningPort
 {
 public:
-    BoundButDeafPort()
+    BoundNotListeningPort()
         : m_socket(socket(AF_INET, SOCK_STREAM, 0))
     {
         sockaddr_in address{};
@@ -34,9 +34,9 @@
         EXPECT_EQ(getsockname(m_socket, generic, &size), 0);
         m_number = ntohs(address.sin_port);
     }
-    BoundButDeafPort(const BoundButDeafPort &) = delete;
-    BoundButDeafPort &operator=(const BoundButDeafPort &) = delete;
-    ~BoundButDeafPort() { close(m_socket); }
+    BoundNotListeningPort(const BoundNotListeningPort &) = delete;
+    BoundNotListeningPort &operator=(const BoundNotListeningPort &) = delete;
+    ~BoundNotListeningPort() { close(m_socket); }
 
     [[nodiscard]] std::uint16_t number() const { return m_number; }
 
@@ -45,7 +45,7 @@
     std::uint16_t m_number = 0;
 };
 
-/// A server on a free loopback port that answers appends as the test says.
+/// Runs a server on a free loopback port; the test sets its response to appends.
 class LogClientTest : public testing::Test
 {
 protected:
@@ -53,12 +53,12 @@
     {
         m_server.Post("/v1/logs/bundles/records",
                       [this](const httplib::Request &request, httplib::Response &response) {
-                          m_taken = request.body;
+                          m_received = request.body;
                           m_answer(response);
                       });
         m_server.Get("/v1/logs/bundles/records",
                      [this](const httplib::Request &request, httplib::Response &response) {
-                         m_taken = request.get_param_value("from");
+                         m_received = request.get_param_value("from");
                          m_answer(response);
                      });
         m_port = m_server.bind_to_any_port("127.0.0.1");
@@ -79,11 +79,11 @@
     httplib::Server m_server;
     int m_port = 0;
     std::thread m_thread;
-    std::string m_taken;
+    std::string m_received;
     std::function<void(httplib::Response &)> m_answer;
 };
 
-TEST_F(LogClientTest, AppendsAndTellsTheOffset)
+TEST_F(LogClientTest, AppendReturnsTheOffset)
 {
     m_answer = [](httplib::Response &response) {
         response.status = 201;
@@ -92,7 +92,7 @@
     const auto offset = client().append("some bytes", MonotonicClock::now() + seconds(30));
     ASSERT_TRUE(offset.has_value()) << offset.error().detail;
     EXPECT_EQ(*offset, 7U);
-    EXPECT_EQ(m_taken, "some bytes");
+    EXPECT_EQ(m_received, "some bytes");
 }
 
 TEST_F(LogClientTest, ReadsAPage)
@@ -104,7 +104,7 @@
     };
     const auto page = client().read(4, MonotonicClock::now() + seconds(30));
     ASSERT_TRUE(page.has_value()) << page.error().detail;
-    EXPECT_EQ(m_taken, "4");
+    EXPECT_EQ(m_received, "4");
     EXPECT_EQ(page->firstOffset, 3U);
     EXPECT_EQ(page->nextOffset, 5U);
     ASSERT_EQ(page->records.size(), 1U);
@@ -112,9 +112,9 @@
     EXPECT_EQ(page->records[0].appendedAt, WallTime(milliseconds(1500)));
 }
 
-// The log takes the record, and its answer breaks off on the way back. Were that told as "not
-// sent", the caller would append again, and a booking would run twice.
-TEST_F(LogClientTest, AnAnswerThatBreaksOffLeavesTheAppendUnknown)
+// The log stores the record, but its response is truncated. If this were reported as NotSent, the
+// caller would append again, and a booking would run twice.
+TEST_F(LogClientTest, ATruncatedResponseLeavesTheAppendUnknown)
 {
     m_answer = [](httplib::Response &response) {
         response.status = 201;
@@ -127,9 +127,9 @@
     EXPECT_EQ(offset.error().error, LogError::Unanswered);
 }
 
-// The log hangs after it took the record. The caller must not hang with it, and must not be told
+// The log hangs after it stored the record. The call must end at the deadline, and must not report
 // that nothing happened.
-TEST_F(LogClientTest, SilenceEndsAtTheDeadlineAndLeavesTheAppendUnknown)
+TEST_F(LogClientTest, AMissingResponseEndsAtTheDeadlineAndLeavesTheAppendUnknown)
 {
     std::atomic<bool> release = false;
     m_answer = [&](httplib::Response &) {
@@ -143,7 +143,7 @@
     EXPECT_EQ(offset.error().error, LogError::Unanswered);
 }
 
-TEST_F(LogClientTest, ARefusalIsToldApartFromAServerErrorThatProvesNothing)
+TEST_F(LogClientTest, DistinguishesARefusalFromAnInconclusiveServerError)
 {
     m_answer = [](httplib::Response &response) { response.status = 503; };
     EXPECT_EQ(client().append("x", MonotonicClock::now() + seconds(30)).error().error,
@@ -153,11 +153,11 @@
               LogError::Malformed);
 }
 
-// Nobody listens where the log should be, as in an outage. The user is told that nothing ran, which
-// is only true if no byte left.
+// The log refuses connections, as in an outage. The user gets the answer that nothing ran, which is
+// only true if no byte was sent.
 TEST(LogClient, WithoutAConnectionNothingWasSent)
 {
-    const BoundButDeafPort port;
+    const BoundNotListeningPort port;
     LogClient client({"127.0.0.1", port.number()}, "bundles");
     const auto offset = client.append("x", MonotonicClock::now() + seconds(30));
     ASSERT_FALSE(offset.has_value());
