--- a/include/vanilladyke/peers/codec.hpp
+++ b/include/vanilladyke/peers/codec.hpp
@@ -17,7 +17,7 @@
 };
 
 /// @brief Maximum size of a message in bytes; larger messages are rejected without parsing.
-inline constexpr std::size_t MostMessageBytes = 1U << 20U;
+inline constexpr std::size_t MaxMessageBytes = 1U << 20U;
 
 [[nodiscard]] std::string encode(const PeerMessage &message);
 /// @brief Parses and validates a message: names must be present and numbers in range.
--- a/src/vanilladyke/peers/codec.cpp
+++ b/src/vanilladyke/peers/codec.cpp
@@ -178,7 +178,7 @@
 
 Outcome<PeerMessage, DecodeError> decode(std::string_view bytes)
 {
-    if (bytes.size() > MostMessageBytes) {
+    if (bytes.size() > MaxMessageBytes) {
         return failure(DecodeError{"message exceeds the size limit"});
     }
     wire::PeerMessage in;
@@ -225,7 +225,7 @@
 {
     wire::CacheEntry in;
     const google::protobuf::LogSilencer silencer;
-    if (bytes.size() > MostMessageBytes
+    if (bytes.size() > MaxMessageBytes
         || !in.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
         return failure(DecodeError{"not a valid cache entry"});
     }
--- a/src/vanilladyke/peers/codec_test.cpp
+++ b/src/vanilladyke/peers/codec_test.cpp
@@ -70,7 +70,7 @@
 
 TEST(Codec, RefusesAMessageThatIsTooLong)
 {
-    EXPECT_FALSE(decode(std::string(MostMessageBytes + 1, 'x')).has_value());
+    EXPECT_FALSE(decode(std::string(MaxMessageBytes + 1, 'x')).has_value());
 }
 
 } // namespace
--- a/src/vanilladyke/peers/peer_transport.cpp
+++ b/src/vanilladyke/peers/peer_transport.cpp
@@ -289,7 +289,7 @@
     try {
         router.set(zmq::sockopt::linger, 0);
         router.set(zmq::sockopt::sndhwm, MaxQueuedMessages);
-        router.set(zmq::sockopt::maxmsgsize, static_cast<std::int64_t>(MostMessageBytes));
+        router.set(zmq::sockopt::maxmsgsize, static_cast<std::int64_t>(MaxMessageBytes));
         router.set(zmq::sockopt::curve_server, 1);
         router.set(zmq::sockopt::curve_secretkey, m_private->keys.secretKey);
         router.bind(addressOf(endpoint));
