--- a/src/vanilladyke/peers/curve_gate.cpp
+++ b/src/vanilladyke/peers/curve_authenticator.cpp
@@ -1,4 +1,4 @@
-#include "vanilladyke/peers/curve_gate.hpp"
+#include "vanilladyke/peers/curve_authenticator.hpp"
 
 #include "vanilladyke/base/log.hpp"
 
@@ -20,14 +20,15 @@
 
 } // namespace
 
-CurveGate::CurveGate(zmq::context_t &context, std::vector<std::string> acceptedKeys)
+CurveAuthenticator::CurveAuthenticator(zmq::context_t &context,
+                                       std::vector<std::string> acceptedKeys)
     : m_socket(context, zmq::socket_type::rep)
     , m_acceptedKeys(std::move(acceptedKeys))
 {
     m_socket.bind(ZapEndpoint);
 }
 
-void CurveGate::answer()
+void CurveAuthenticator::answer()
 {
     std::vector<zmq::message_t> frames;
     const auto received =
@@ -55,7 +56,7 @@
     zmq::send_multipart(m_socket, reply);
 }
 
-bool CurveGate::accepts(const std::string &binaryKey) const
+bool CurveAuthenticator::accepts(const std::string &binaryKey) const
 {
     if (binaryKey.size() != BinaryKeyBytes) {
         return false;
--- a/src/vanilladyke/peers/curve_gate.hpp
+++ b/src/vanilladyke/peers/curve_authenticator.hpp
@@ -8,10 +8,10 @@
 
 /// @brief ZAP handler (ZeroMQ RFC 27) that accepts or rejects connections by their CURVE client
 /// key.
-class CurveGate
+class CurveAuthenticator
 {
 public:
-    CurveGate(zmq::context_t &context, std::vector<std::string> acceptedKeys);
+    CurveAuthenticator(zmq::context_t &context, std::vector<std::string> acceptedKeys);
 
     /// @brief Socket to poll for ZAP requests.
     [[nodiscard]] zmq::socket_ref socket() { return m_socket; }
--- a/src/vanilladyke/peers/peer_transport.cpp
+++ b/src/vanilladyke/peers/peer_transport.cpp
@@ -3,7 +3,7 @@
 #include "vanilladyke/base/log.hpp"
 #include "vanilladyke/base/time.hpp"
 #include "vanilladyke/peers/codec.hpp"
-#include "vanilladyke/peers/curve_gate.hpp"
+#include "vanilladyke/peers/curve_authenticator.hpp"
 
 #include <zmq.hpp>
 #include <zmq_addon.hpp>
@@ -97,7 +97,7 @@
     Private(PeerKeys peerKeys, Receiver onMessage)
         : keys(std::move(peerKeys))
         , receiver(std::move(onMessage))
-        , gate(context, {keys.publicKey, keys.formerPublicKey})
+        , authenticator(context, {keys.publicKey, keys.formerPublicKey})
         , router(context, zmq::socket_type::router)
         , wake(eventfd(0, EFD_NONBLOCK))
     {}
@@ -117,7 +117,7 @@
     PeerKeys keys;
     Receiver receiver;
     zmq::context_t context;
-    CurveGate gate;
+    CurveAuthenticator authenticator;
     zmq::socket_t router;
     int wake;
     std::map<Endpoint, Link> links; ///< accessed by the transport thread only
@@ -145,7 +145,7 @@
 {
     std::vector<zmq::pollitem_t> items{
             {nullptr, wake, ZMQ_POLLIN, 0},
-            {gate.socket().handle(), 0, ZMQ_POLLIN, 0},
+            {authenticator.socket().handle(), 0, ZMQ_POLLIN, 0},
             {router.handle(), 0, ZMQ_POLLIN, 0},
     };
     std::vector<Link *> polled;
@@ -156,7 +156,7 @@
     const std::size_t fixed = items.size() - polled.size();
     zmq::poll(items, PollTimeout);
     if (items[1].revents != 0) {
-        gate.answer();
+        authenticator.answer();
     }
     if (items[2].revents != 0) {
         readRouter();
