--- a/src/vanilladyke/peers/codec_test.cpp
+++ b/src/vanilladyke/peers/codec_test.cpp
@@ -40,8 +40,8 @@
     EXPECT_EQ(piece.items, (std::vector<std::string>{"a", std::string(1, '\0')}));
 }
 
-// A peer of another version, or a port scanner, sends bytes that are no message. A node that
-// trusted them would crash, and all its callers' streams with it.
+// Guards against a crash on bytes that are not a valid message, as a peer of another version or a
+// port scanner sends them. A crash would end the streams of all callers.
 RC_GTEST_PROP(Codec, NeverCrashesOnForeignBytes, (const std::string &bytes))
 {
     const auto read = decode(bytes);
@@ -70,7 +70,7 @@
 
 TEST(Codec, RefusesAMessageThatIsTooLong)
 {
-    EXPECT_FALSE(decode(std::string(MostMessageBytes + 1, 'x')).has_value());
+    EXPECT_FALSE(decode(std::string(MaxMessageBytes + 1, 'x')).has_value());
 }
 
 } // namespace
--- a/src/vanilladyke/peers/curve_gate.cpp
+++ b/src/vanilladyke/peers/curve_authenticator.cpp
@@ -1,4 +1,4 @@
-#include "vanilladyke/peers/curve_gate.hpp"
+#include "vanilladyke/peers/curve_authenticator.hpp"
 
 #include "vanilladyke/base/log.hpp"
 
@@ -20,14 +20,15 @@
 
 } // namespace
 
-CurveGate::CurveGate(zmq::context_t &context, std::vector<std::string> acceptedKeys)
+CurveAuthenticator::CurveAuthenticator(zmq::context_t &context,
+                                       std::vector<std::string> acceptedKeys)
     : m_socket(context, zmq::socket_type::rep)
     , m_acceptedKeys(std::move(acceptedKeys))
 {
     m_socket.bind(ZapEndpoint);
 }
 
-void CurveGate::answer()
+void CurveAuthenticator::answer()
 {
     std::vector<zmq::message_t> frames;
     const auto received =
@@ -35,15 +36,15 @@
     if (!received) {
         return;
     }
-    const bool whole = frames.size() >= FrameCount && frames[Mechanism].to_string() == "CURVE";
-    const bool accepted = whole && accepts(frames[Key].to_string());
+    const bool wellFormed = frames.size() >= FrameCount && frames[Mechanism].to_string() == "CURVE";
+    const bool accepted = wellFormed && accepts(frames[Key].to_string());
     if (!accepted) {
         LogEvent("peer_refused", Severity::Warning)
-                .field("address", whole ? frames[Address].to_string() : "unknown")
-                .field("reason", "its key is not the fleet's");
+                .field("address", wellFormed ? frames[Address].to_string() : "unknown")
+                .field("reason", "client key is not accepted by the fleet");
     }
     const std::string version = frames.empty() ? "1.0" : frames[Version].to_string();
-    const std::string request = whole ? frames[RequestId].to_string() : "";
+    const std::string request = wellFormed ? frames[RequestId].to_string() : "";
     const std::array<zmq::const_buffer, 6> reply{
             zmq::buffer(version),
             zmq::buffer(request),
@@ -55,7 +56,7 @@
     zmq::send_multipart(m_socket, reply);
 }
 
-bool CurveGate::accepts(const std::string &binaryKey) const
+bool CurveAuthenticator::accepts(const std::string &binaryKey) const
 {
     if (binaryKey.size() != BinaryKeyBytes) {
         return false;
