--- a/include/vanilladyke/app/mechanism_switches.hpp
+++ b/include/vanilladyke/app/mechanism_switches.hpp
@@ -5,8 +5,8 @@
 
 namespace vanilladyke {
 
-/// @brief Changes settings so that the mechanism has no effect. The only place that knows how each
-/// one is switched off.
+/// @brief Changes the settings so that the mechanism has no effect. How each mechanism is disabled
+/// is defined only here.
 void switchOff(Mechanism mechanism, NodeSettings *settings);
 
 } // namespace vanilladyke
--- a/include/vanilladyke/app/node_command.hpp
+++ b/include/vanilladyke/app/node_command.hpp
@@ -5,8 +5,8 @@
 
 namespace vanilladyke {
 
-/// @brief `vanilladyke node [--settings FILE] [--check]`: runs a node on the platform, or checks
-/// its settings.
+/// @brief `vanilladyke node [--settings FILE] [--check]`: runs a node on the platform, or only
+/// checks its settings. @return the exit code
 [[nodiscard]] int runNode(const std::vector<std::string> &arguments);
 
 } // namespace vanilladyke
--- a/include/vanilladyke/app/node_settings.hpp
+++ b/include/vanilladyke/app/node_settings.hpp
@@ -12,23 +12,24 @@
 
 namespace vanilladyke {
 
-/// @brief Settings of a node that routes by host and path from the platform's store.
+/// @brief Settings of a node that routes by host and path with the state in the platform's store.
 struct NodeSettings
 {
     std::string node;
-    std::string address; ///< IP number; with the name it tells one machine from its successor
+    /// IP address; with the name it distinguishes a machine from its successor.
+    std::string address;
     Endpoint store;
-    Endpoint peers;     ///< where this node hears from others, by datagrams
-    Endpoint questions; ///< where it answers those that it reads the store for
+    Endpoint peers;     ///< UDP address for updates from other nodes
+    Endpoint questions; ///< address for queries of nodes that it reads the store for
     ListenSettings listen;
     TrafficSettings traffic;
     ControlSettings control;
     FollowTerms follow;
-    Duration grace = std::chrono::seconds(8); ///< from SIGTERM until the process is killed
+    Duration grace = std::chrono::seconds(8); ///< time from SIGTERM until the process is killed
     std::string logLevel = "info";
 };
 
-/// @brief Reads settings and checks them; on failure every error is given.
+/// @brief Parses and validates settings. @return all errors on failure
 [[nodiscard]] Outcome<NodeSettings, std::vector<FieldError>>
 parseNodeSettings(std::string_view text);
 
--- a/include/vanilladyke/app/serve.hpp
+++ b/include/vanilladyke/app/serve.hpp
@@ -4,7 +4,7 @@
 
 namespace vanilladyke {
 
-/// @brief Runs a node until SIGTERM or SIGINT. @return the process's exit code
+/// @brief Runs a node until SIGTERM or SIGINT. @return the exit code of the process
 [[nodiscard]] int serve(const HostSettings &settings);
 
 } // namespace vanilladyke
--- a/include/vanilladyke/app/settings.hpp
+++ b/include/vanilladyke/app/settings.hpp
@@ -13,32 +13,32 @@
 #include <string_view>
 #include <vector>
 
-/// The settings of one host: what a process must know before it has a bundle.
+/// The settings of one host, which a process needs before it has loaded a bundle.
 namespace vanilladyke {
 
-/// @brief PEM files of one TLS listener; empty for plain text.
+/// @brief PEM files of one TLS listener; both paths are empty for plain text.
 struct TlsFiles
 {
     std::string certificate;
     std::string privateKey;
 };
 
-/// @brief How this node and its peers reach each other.
+/// @brief Addresses and keys for the connections between this node and its peers.
 struct PeerSettings
 {
     Endpoint listen;
-    std::vector<Endpoint> seeds; ///< a few peers; the others are learned from them
-    std::string publicKey;       ///< the fleet's, the same on all hosts
-    std::string secretKeyFile;   ///< a file that holds the fleet's secret key
-    std::string formerPublicKey; ///< accepted besides while keys are changed
+    std::vector<Endpoint> seeds; ///< initial peers; the others are discovered through them
+    std::string publicKey;       ///< of the fleet; the same on all hosts
+    std::string secretKeyFile;   ///< path of the file with the fleet's secret key
+    std::string formerPublicKey; ///< also accepted during key rotation
 };
 
-/// @brief Where the platform's services are.
+/// @brief Addresses of the platform's services.
 struct PlatformSettings
 {
     Endpoint log;
-    std::optional<Endpoint> hosts;                 ///< the host list; none to go without
-    Duration logRetention = std::chrono::hours(1); ///< how long the log keeps a record
+    std::optional<Endpoint> hosts;                 ///< of the host list; nullopt if it is not used
+    Duration logRetention = std::chrono::hours(1); ///< retention period of log records
 };
 
 /// @brief Everything in the settings file of one host.
@@ -46,23 +46,23 @@
 {
     NodeId node;
     DataCentreId dataCentre;
-    Endpoint callers; ///< where callers are served
+    Endpoint callers; ///< listen address for callers
     TlsFiles callersTls;
     BackendTls backendsTls;
-    Endpoint operators;                ///< where operators are served
-    std::optional<PeerSettings> peers; ///< none for a node on its own
+    Endpoint operators;                ///< listen address for operators
+    std::optional<PeerSettings> peers; ///< nullopt for a single node
     std::optional<PlatformSettings> platform;
-    TrustedSigners trusted;                ///< whose signatures of bundles count
-    std::vector<OperatorKey> operatorKeys; ///< who may use the operators' interface
+    TrustedSigners trusted;                ///< signers whose bundle signatures are accepted
+    std::vector<OperatorKey> operatorKeys; ///< keys that grant access to the operator API
     std::string logLevel = "info";
     std::string streamKey; ///< signs event ids: 64 hexadecimal digits, the same on all nodes
-    Duration balancerLag = std::chrono::seconds(5); ///< until the balancer minds /readyz
+    Duration balancerLag = std::chrono::seconds(5); ///< until the balancer reacts to /readyz
 };
 
-/// @brief Reads settings and checks them; on failure every error is given.
+/// @brief Parses and validates settings. @return all errors on failure
 [[nodiscard]] Outcome<HostSettings, std::vector<FieldError>> parseSettings(std::string_view text);
 
-/// @brief Reads a whole file. @return one error if it can't be read
+/// @brief Reads a whole file. @return an error if it can't be read
 [[nodiscard]] Outcome<std::string, FieldError> readFile(const std::string &path);
 
 } // namespace vanilladyke
--- a/src/vanilladyke/app/bundle_commands.cpp
+++ b/src/vanilladyke/app/bundle_commands.cpp
@@ -19,7 +19,7 @@
 
 using nlohmann::json;
 
-std::optional<std::string> readOrComplain(const std::string &path)
+std::optional<std::string> readFileOrReport(const std::string &path)
 {
     auto text = readFile(path);
     if (!text) {
@@ -29,14 +29,14 @@
     return std::move(*text);
 }
 
-/// A signed file is taken apart; any other text is a bundle without signatures.
-SignedBundle bundleIn(const std::string &text)
+/// Parses a signed bundle; any other text is treated as a bundle without signatures.
+SignedBundle bundleFromText(const std::string &text)
 {
     auto parsed = parseSignedBundle(text);
     return parsed ? std::move(*parsed) : SignedBundle{text, {}};
 }
 
-json written(const std::vector<FieldError> &errors)
+json toJson(const std::vector<FieldError> &errors)
 {
     json list = json::array();
     for (const FieldError &error : errors) {
@@ -53,26 +53,26 @@
                                          "", "FILE", line);
     TCLAP::SwitchArg asJson("j", "json", "print JSON", line);
     TCLAP::UnlabeledValueArg<std::string> file("file", "the bundle", true, "", "FILE", line);
-    if (const auto over = parseArguments(line, "bundle check", arguments)) {
-        return *over;
+    if (const auto exitCode = parseArguments(line, "bundle check", arguments)) {
+        return *exitCode;
     }
-    const auto text = readOrComplain(file.getValue());
+    const auto text = readFileOrReport(file.getValue());
     if (!text) {
         return CommandFailed;
     }
-    const SignedBundle bundle = bundleIn(*text);
+    const SignedBundle bundle = bundleFromText(*text);
     std::vector<FieldError> errors = checkBundle(bundle.text);
     if (!against.getValue().empty()) {
-        const auto previous = readOrComplain(against.getValue());
+        const auto previous = readFileOrReport(against.getValue());
         if (!previous) {
             return CommandFailed;
         }
-        const auto more = checkSuccessor(bundle.text, bundleIn(*previous).text);
+        const auto more = checkSuccessor(bundle.text, bundleFromText(*previous).text);
         errors.insert(errors.end(), more.begin(), more.end());
     }
     const std::string digest = digestOf(bundle.text);
     if (asJson.getValue()) {
-        std::cout << json{{"ok", errors.empty()}, {"digest", digest}, {"errors", written(errors)}}
+        std::cout << json{{"ok", errors.empty()}, {"digest", digest}, {"errors", toJson(errors)}}
                   << '\n';
     } else if (errors.empty()) {
         std::cout << file.getValue() << ": ok, digest " << digest << '\n';
@@ -91,11 +91,11 @@
                                          line);
     TCLAP::ValueArg<std::string> out("o", "out", "the signed bundle", true, "", "FILE", line);
     TCLAP::UnlabeledValueArg<std::string> file("file", "the bundle", true, "", "FILE", line);
-    if (const auto over = parseArguments(line, "bundle sign", arguments)) {
-        return *over;
+    if (const auto exitCode = parseArguments(line, "bundle sign", arguments)) {
+        return *exitCode;
     }
-    const auto text = readOrComplain(file.getValue());
-    const auto keyText = readOrComplain(keyFile.getValue());
+    const auto text = readFileOrReport(file.getValue());
+    const auto keyText = readFileOrReport(keyFile.getValue());
     if (!text || !keyText) {
         return CommandFailed;
     }
@@ -104,7 +104,7 @@
         std::cerr << keyFile.getValue() << ": is no signing key\n";
         return CommandFailed;
     }
-    SignedBundle bundle = bundleIn(*text);
+    SignedBundle bundle = bundleFromText(*text);
     const std::vector<FieldError> errors = checkBundle(bundle.text);
     if (!errors.empty()) {
         std::cerr << describe(file.getValue(), errors);
--- a/src/vanilladyke/app/bundle_setup.hpp
+++ b/src/vanilladyke/app/bundle_setup.hpp
@@ -9,7 +9,8 @@
 
 namespace vanilladyke {
 
-/// @brief The two threads that talk to the log's stream of bundles; none on a node without a log.
+/// @brief The two threads that append to and read the log's bundle stream. A node without a log
+/// has neither.
 class BundleLog
 {
 public:
--- a/src/vanilladyke/app/command_line.cpp
+++ b/src/vanilladyke/app/command_line.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-constexpr int WrongCall = 2;
+constexpr int UsageError = 2;
 constexpr const char *Version = "0.1.0";
 constexpr const char *Usage =
         "usage: vanilladyke COMMAND [--help]\n"
@@ -65,7 +65,7 @@
     line.parse(arguments);
     if (verb.getValue() != "check") {
         std::cerr << "settings: unknown verb " << verb.getValue() << '\n';
-        return WrongCall;
+        return UsageError;
     }
     return loadSettings(file.getValue()) ? EXIT_SUCCESS : EXIT_FAILURE;
 }
@@ -98,7 +98,7 @@
     }
     const bool help = command == "--help" || command == "-h";
     (help ? std::cout : std::cerr) << Usage;
-    return help ? EXIT_SUCCESS : WrongCall;
+    return help ? EXIT_SUCCESS : UsageError;
 }
 
 } // namespace vanilladyke
--- a/src/vanilladyke/app/explain_command.cpp
+++ b/src/vanilladyke/app/explain_command.cpp
@@ -17,7 +17,7 @@
 namespace {
 
 constexpr std::size_t ViewBytes = 4U << 20U;
-/// Any seed serves: it only decides among candidates that cost about the same.
+/// Any seed will do: it only breaks ties between candidates of about the same cost.
 constexpr std::uint64_t Seed = 1;
 
 std::optional<StateDump> loadDump(const std::string &path, TimePoint now)
@@ -35,7 +35,7 @@
     return std::move(*dump);
 }
 
-/// The request as the filters leave it: parsed and cut into its prefix chain.
+/// Loads the request and runs the filters on it, which parse it and compute its prefix chain.
 std::optional<RequestContext> loadRequest(const std::string &path, const std::string &customer,
                                           std::shared_ptr<const Fleet> fleet, TimePoint now)
 {
@@ -62,7 +62,7 @@
     return context;
 }
 
-CacheView viewOf(const StateDump &dump, TimePoint now)
+CacheView cacheViewOf(const StateDump &dump, TimePoint now)
 {
     CacheView view(ViewBytes);
     for (const EngineView &engine : dump.fleet.engines) {
@@ -74,7 +74,7 @@
     return view;
 }
 
-Placement placeAgain(const RequestContext &context, const CacheView &view, TimePoint now)
+Placement repeatPlacement(const RequestContext &context, const CacheView &view, TimePoint now)
 {
     PlacementRequest request;
     request.customer = context.customer;
@@ -117,7 +117,7 @@
     return out;
 }
 
-/// Tells the story of a request from the logs of nodes, all together in any order.
+/// Reconstructs a request's timeline from node logs, which may be given in any order.
 int explainFromLogs(const std::string &id, const std::vector<std::string> &paths, bool asJson)
 {
     std::vector<LogLine> lines;
@@ -134,23 +134,23 @@
             }
         }
     }
-    const RequestStory story = tellStory(lines, id);
+    const RequestStory timeline = tellStory(lines, id);
     if (asJson) {
         const nlohmann::json out{{"id", id},
-                                 {"before", toJson(story.context)},
-                                 {"lines", toJson(story.own)},
-                                 {"verdict", story.verdict}};
+                                 {"before", toJson(timeline.context)},
+                                 {"lines", toJson(timeline.own)},
+                                 {"verdict", timeline.verdict}};
         std::cout << out.dump(1) << '\n';
     } else {
-        for (const LogLine &line : story.context) {
+        for (const LogLine &line : timeline.context) {
             std::cout << "before  " << line.text << '\n';
         }
-        for (const LogLine &line : story.own) {
+        for (const LogLine &line : timeline.own) {
             std::cout << "request " << line.text << '\n';
         }
-        std::cout << story.verdict << '\n';
+        std::cout << timeline.verdict << '\n';
     }
-    return story.own.empty() ? CommandFailed : CommandDone;
+    return timeline.own.empty() ? CommandFailed : CommandDone;
 }
 
 } // namespace
@@ -169,8 +169,8 @@
                                           line);
     TCLAP::SwitchArg asJson("j", "json", "print JSON", line);
     TCLAP::UnlabeledMultiArg<std::string> logs("logs", "logs of nodes", false, "LOG", line);
-    if (const auto over = parseArguments(line, "explain", arguments)) {
-        return *over;
+    if (const auto exitCode = parseArguments(line, "explain", arguments)) {
+        return *exitCode;
     }
     if (id.isSet() && !logs.getValue().empty()) {
         return explainFromLogs(id.getValue(), logs.getValue(), asJson.getValue());
@@ -189,7 +189,7 @@
     if (!context) {
         return CommandFailed;
     }
-    const Placement placement = placeAgain(*context, viewOf(*dump, now), now);
+    const Placement placement = repeatPlacement(*context, cacheViewOf(*dump, now), now);
     if (asJson.getValue()) {
         printJson(*context, placement);
     } else {
--- a/src/vanilladyke/app/key_commands.cpp
+++ b/src/vanilladyke/app/key_commands.cpp
@@ -16,8 +16,9 @@
     return end == std::string::npos ? "" : text.substr(0, end + 1);
 }
 
-/// A signing key, a peer key, or an operator's bearer key, whichever the text is.
-std::string publicPart(const std::string &secret)
+/// Derives the public part of a signing key, a peer key or an operator's bearer key; the kind is
+/// detected from the text.
+std::string publicPartOf(const std::string &secret)
 {
     if (const auto signing = parseSigningKey(secret)) {
         return verifyKeyOf(*signing).hex();
@@ -41,8 +42,8 @@
                                       false, "signing", &constraint, line);
     TCLAP::UnlabeledValueArg<std::string> file("file", "where the key is written", true, "", "FILE",
                                                line);
-    if (const auto over = parseArguments(line, "keys new", arguments)) {
-        return *over;
+    if (const auto exitCode = parseArguments(line, "keys new", arguments)) {
+        return *exitCode;
     }
     const SigningKey random = newSigningKey();
     std::string secret = random.hex();
@@ -54,7 +55,7 @@
     if (!writeFile(file.getValue(), secret + "\n", true)) {
         return CommandFailed;
     }
-    std::cout << publicPart(secret) << '\n';
+    std::cout << publicPartOf(secret) << '\n';
     return CommandDone;
 }
 
@@ -63,15 +64,15 @@
     TCLAP::CmdLine line("Prints what settings or bundles are to hold of a secret key.", ' ',
                         ProgramVersion);
     TCLAP::UnlabeledValueArg<std::string> file("file", "the key", true, "", "FILE", line);
-    if (const auto over = parseArguments(line, "keys show", arguments)) {
-        return *over;
+    if (const auto exitCode = parseArguments(line, "keys show", arguments)) {
+        return *exitCode;
     }
     const auto text = readFile(file.getValue());
     if (!text) {
         std::cerr << file.getValue() << ": " << text.error().reason << '\n';
         return CommandFailed;
     }
-    std::cout << publicPart(trimmed(*text)) << '\n';
+    std::cout << publicPartOf(trimmed(*text)) << '\n';
     return CommandDone;
 }
 
--- a/src/vanilladyke/app/mechanism_switches.cpp
+++ b/src/vanilladyke/app/mechanism_switches.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// Longer than any request: a bound of that size is never reached.
+/// Longer than any request, so that the bound is never reached.
 constexpr Millis NeverReached{1e12};
 constexpr double NeverReachedTargets = 1e6;
 
--- a/src/vanilladyke/app/mechanism_switches_test.cpp
+++ b/src/vanilladyke/app/mechanism_switches_test.cpp
@@ -12,7 +12,7 @@
            + more + "}";
 }
 
-TEST(MechanismSwitches, AllMechanismsAreOnUnlessTheSettingsSayOtherwise)
+TEST(MechanismSwitches, AllMechanismsAreOnByDefault)
 {
     const auto settings = parseNodeSettings(settingsWith(""));
     ASSERT_TRUE(settings);
@@ -21,7 +21,7 @@
     EXPECT_TRUE(settings->follow.asksOthers);
 }
 
-TEST(MechanismSwitches, EachNameIsTaken)
+TEST(MechanismSwitches, AcceptsEveryName)
 {
     for (const MechanismName &each : MechanismNames) {
         const std::string off = R"(, "off": [")" + std::string(each.name) + R"("])";
@@ -29,16 +29,16 @@
     }
 }
 
-// A name with a slip would leave the mechanism on, and a measurement would say that it is worth
-// nothing.
-TEST(MechanismSwitches, UnknownNamesAreErrorsEachOfItsOwn)
+// Guards against a misspelled name that is silently ignored: the mechanism would stay on, and a
+// measurement would show no effect of switching it off.
+TEST(MechanismSwitches, ReportsEachUnknownNameAsAnError)
 {
     const auto settings = parseNodeSettings(settingsWith(R"(, "off": ["homs", "pace", "urgncy"])"));
     ASSERT_FALSE(settings);
     EXPECT_EQ(settings.error().size(), 2U);
 }
 
-TEST(MechanismSwitches, WhatIsOffHasNoEffect)
+TEST(MechanismSwitches, DisabledMechanismsHaveNoEffect)
 {
     const auto settings =
             parseNodeSettings(settingsWith(R"(, "off": ["copy_charge", "shared_reading"])"));
--- a/src/vanilladyke/app/node.cpp
+++ b/src/vanilladyke/app/node.cpp
@@ -12,14 +12,15 @@
 
 constexpr std::size_t InboxCapacity = 65'536;
 /// 262,144 entries of 32 bytes: with two holders each, prefixes of 67 million tokens in blocks of
-/// 512. A quarter of the memory that a node may spend on control; with half of it
-/// docs/CAPACITY.md's sum came to 33 MB of 32.
+/// 512. This is a quarter of a node's memory budget for control; with half of it the total in
+/// docs/CAPACITY.md was 33 MB, above the budget of 32 MB.
 constexpr std::size_t CacheViewBytes = 8U << 20U;
 constexpr std::string_view ClaimStream = "claims";
-/// Outcomes that are not in the log when a node stops are "unknown" to all repeats from then on.
-constexpr Duration FlushWithin = std::chrono::seconds(5);
+/// Outcomes that are not in the log when a node stops stay "unknown" for all later repeats of
+/// their requests.
+constexpr Duration FlushTimeout = std::chrono::seconds(5);
 
-FieldError notToBeHad(const std::string &field, const Endpoint &endpoint)
+FieldError addressUnavailable(const std::string &field, const Endpoint &endpoint)
 {
     return {field, endpoint.str(), "the address is not to be had"};
 }
@@ -53,8 +54,8 @@
     , m_claims(ProcessId(newUuid()), settings.node, m_claimIo)
     , m_snapshots({m_bundleSnapshot.store(), cacheViewStore(m_cacheView, m_cache)},
                   [this](Outgoing outgoing) { send(std::move(outgoing)); })
-    , m_operators(operatorSide())
-    , m_callers({m_fleet, m_cacheView, m_inbox}, m_metrics, callerOptions())
+    , m_operators(makeOperatorContext())
+    , m_callers({m_fleet, m_cacheView, m_inbox}, m_metrics, makeCallerOptions())
 {}
 
 std::optional<FieldError> Node::bind()
@@ -66,14 +67,14 @@
         }
     }
     if (!m_operators.bind(m_settings.operators)) {
-        return notToBeHad("operators", m_settings.operators);
+        return addressUnavailable("operators", m_settings.operators);
     }
     if (!m_callers.tlsUsable()) {
         return FieldError{"callers_tls", m_settings.callersTls.certificate,
                           "no certificate with its private key in these PEM files"};
     }
     if (!m_callers.bind(m_settings.callers)) {
-        return notToBeHad("callers", m_settings.callers);
+        return addressUnavailable("callers", m_settings.callers);
     }
     return std::nullopt;
 }
@@ -89,8 +90,8 @@
     m_inbox.post(StopRequested{});
     shutDown(m_callers, signals, m_settings.balancerLag);
     callers.join();
-    if (!m_claimIo.flush(MonotonicClock::now() + FlushWithin)) {
-        LogEvent("claims_unflushed", Severity::Warning).field("within", FlushWithin);
+    if (!m_claimIo.flush(MonotonicClock::now() + FlushTimeout)) {
+        LogEvent("claims_unflushed", Severity::Warning).field("within", FlushTimeout);
     }
     m_operators.stop();
     operators.join();
@@ -116,14 +117,14 @@
     }
 }
 
-OperatorContext Node::operatorSide()
+OperatorContext Node::makeOperatorContext()
 {
     OperatorContext context = operatorContext(m_settings, m_fleet, m_board, m_metrics);
     context.stateDump = [this] { return dumpState(m_fleet, m_cacheView); };
     return context;
 }
 
-CallerServerOptions Node::callerOptions()
+CallerServerOptions Node::makeCallerOptions()
 {
     return {m_settings.callersTls.certificate, m_settings.callersTls.privateKey,
             m_settings.backendsTls, m_settings.streamKey,
--- a/src/vanilladyke/app/node.hpp
+++ b/src/vanilladyke/app/node.hpp
@@ -28,8 +28,8 @@
 
 namespace vanilladyke {
 
-/// @brief All parts of one node and how they hang together. Members stand in the order in which
-/// they depend on each other, and end in the reverse of it.
+/// @brief Owns and connects all components of a node. Members are declared in dependency order, so
+/// that they are destroyed in the reverse order.
 class Node
 {
 public:
@@ -37,10 +37,10 @@
     Node(const Node &) = delete;
     Node &operator=(const Node &) = delete;
 
-    /// @brief Takes all addresses; callers wait in the queue of theirs until run().
-    /// @return the first setting that can't be followed, and why
+    /// @brief Binds all addresses. Connections from callers wait in the listen queue until run().
+    /// @return the first setting that can't be applied, with the reason
     [[nodiscard]] std::optional<FieldError> bind();
-    /// @brief Serves until one of the signals comes, then shuts down gracefully.
+    /// @brief Serves until one of the signals arrives, then shuts down gracefully.
     void run(const sigset_t &signals);
 
 private:
@@ -51,8 +51,8 @@
     void startControl();
     void startPlatform();
     void send(Outgoing outgoing) { m_transport.send(std::move(outgoing)); }
-    [[nodiscard]] OperatorContext operatorSide();
-    [[nodiscard]] CallerServerOptions callerOptions();
+    [[nodiscard]] OperatorContext makeOperatorContext();
+    [[nodiscard]] CallerServerOptions makeCallerOptions();
 
     const HostSettings &m_settings;
     Metrics m_metrics;
--- a/src/vanilladyke/app/node_command.cpp
+++ b/src/vanilladyke/app/node_command.cpp
@@ -25,14 +25,17 @@
 namespace {
 
 constexpr const char *SettingsVariable = "VANILLADYKE_NODE_FILE";
-/// The balancer asks once a second and takes two misses; until then new connections come.
+/// The balancer probes once a second and removes a node after two failed probes; until then new
+/// connections arrive.
 constexpr Duration BalancerLag = std::chrono::milliseconds(2600);
-/// Ends of requests that take longer than the grace are told by a closed connection.
+/// Requests that outlast the grace period have their connections closed this long before the
+/// process is killed.
 constexpr Duration KillMargin = std::chrono::milliseconds(700);
-constexpr Duration StopStep = std::chrono::milliseconds(50);
-/// A node that has not read the list of nodes may be one of hundreds that were started together:
-/// were each to take all second sends for itself, they would be hundreds of times too many.
-constexpr std::size_t NodesBeforeTheList = 1000;
+constexpr Duration StopPollInterval = std::chrono::milliseconds(50);
+/// Number of nodes assumed until the node list has been read. The node may be one of hundreds that
+/// were started together; if each used the whole retry budget of the fleet, the budget would be
+/// exceeded hundreds of times.
+constexpr std::size_t AssumedNodeCount = 1000;
 
 Severity severityOf(const std::string &level)
 {
@@ -45,7 +48,7 @@
     return level == "error" ? Severity::Error : Severity::Info;
 }
 
-/// Both sides of a node, each on a thread of its own.
+/// A node: the traffic side and the control side, each on its own thread.
 class RoutingNode
 {
 public:
@@ -71,8 +74,8 @@
         m_traffic.configAge = [this] { return m_control.proof().age(); };
         m_traffic.operatorNext = [this] { return m_follower.operatorNext(); };
         SecondSendTerms terms = settings.control.secondSends;
-        terms.nodes = NodesBeforeTheList;
-        m_traffic.nodes = NodesBeforeTheList;
+        terms.nodes = AssumedNodeCount;
+        m_traffic.nodes = AssumedNodeCount;
         m_traffic.budget.setTerms(terms);
     }
 
@@ -123,7 +126,7 @@
                 hashOfName(settings.traffic.dataCentre.str()), settings.peers};
     }
 
-    /// What this node and others tell each other, across both threads.
+    /// Connects the exchange of updates with other nodes to the traffic and control threads.
     void connectNodes()
     {
         m_traffic.peersChanged = [this](const std::vector<Endpoint> &peers) {
@@ -162,7 +165,7 @@
         m_stopAt = MonotonicClock::now();
         m_server.announceStop();
         asio::post(m_controlContext, [this] { m_control.handOver(); });
-        stepStop();
+        pollStop();
     }
 
     void awaitHangup()
@@ -175,7 +178,8 @@
         });
     }
 
-    /// Takes over what may change while a node runs; addresses and names need a start.
+    /// Applies the settings that may change at run time; changed addresses and names need a
+    /// restart.
     void reload()
     {
         const auto text = readFile(m_path);
@@ -188,20 +192,20 @@
                     .field("first", describe(m_path, settings.error()));
             return;
         }
-        const bool needsStart = settings->listen.callers != m_settings.listen.callers
-                                || settings->store != m_settings.store
-                                || settings->peers != m_settings.peers
-                                || settings->control.self != m_settings.control.self;
+        const bool needsRestart = settings->listen.callers != m_settings.listen.callers
+                                  || settings->store != m_settings.store
+                                  || settings->peers != m_settings.peers
+                                  || settings->control.self != m_settings.control.self;
         m_traffic.settings.keysValidFor = settings->traffic.keysValidFor;
         m_traffic.settings.failsClosed = settings->traffic.failsClosed;
         m_traffic.quarantine.setFreed(settings->traffic.freedRequests);
         SecondSendTerms terms = settings->control.secondSends;
         terms.nodes = m_traffic.nodes;
         m_traffic.budget.setTerms(terms);
-        LogEvent("reload").field("path", m_path).field("needs_start", needsStart);
+        LogEvent("reload").field("path", m_path).field("needs_start", needsRestart);
     }
 
-    void stepStop()
+    void pollStop()
     {
         const TimePoint now = MonotonicClock::now();
         if (now - m_stopAt >= BalancerLag) {
@@ -212,10 +216,10 @@
             m_trafficContext.stop();
             return;
         }
-        m_stopTimer.expires_after(StopStep);
+        m_stopTimer.expires_after(StopPollInterval);
         m_stopTimer.async_wait([this](const ErrorCode &error) {
             if (!error) {
-                stepStop();
+                pollStop();
             }
         });
     }
@@ -236,7 +240,7 @@
     PeerQuestions m_questions;
     LoadSharing m_sharing;
     asio::signal_set m_signals;
-    asio::signal_set m_hangup; ///< the settings file has changed
+    asio::signal_set m_hangup; ///< SIGHUP: reload the settings file
     asio::steady_timer m_stopTimer;
     TimePoint m_stopAt;
 };
@@ -272,12 +276,13 @@
         return CommandDone;
     }
     initializeLog(severityOf(settings->logLevel), settings->node, LogTarget::StandardOutput);
-    std::signal(SIGPIPE, SIG_IGN); // a reader of the log that goes away must not end the node
+    std::signal(SIGPIPE,
+                SIG_IGN); // else the node would end when a reader of its log closes the pipe
     RoutingNode node(*settings, path);
     const int code = node.run();
-    // Requests that were cut off stand in coroutines that refer to each other and to the node;
-    // taking them down in order brings nothing, since nothing lasts here, and has kept processes
-    // from ending.
+    // Skips destructors: aborted requests are suspended in coroutines that refer to each other and
+    // to the node. Destroying them in order has kept processes from ending, and has no benefit
+    // because the node holds no persistent state.
     std::cout.flush();
     std::cerr.flush();
     std::_Exit(code);
--- a/src/vanilladyke/app/node_settings.cpp
+++ b/src/vanilladyke/app/node_settings.cpp
@@ -7,45 +7,45 @@
 
 namespace {
 
-constexpr Duration LeastSpan = std::chrono::milliseconds(1);
-constexpr Duration LongestSpan = std::chrono::hours(1);
-/// A key's proof has to be younger than the bound at the moment at which its request is sent on.
+constexpr Duration MinDuration = std::chrono::milliseconds(1);
+constexpr Duration MaxDuration = std::chrono::hours(1);
+/// A key's freshness proof must still be within the bound when its request is forwarded.
 constexpr Duration KeyMargin = std::chrono::milliseconds(300);
-constexpr std::uint64_t MostSecondSends = 1'000'000;
+constexpr std::uint64_t MaxExtraRetries = 1'000'000;
 
-void readSecondSends(JsonReader &reader, SecondSendTerms *terms)
+void readRetryLimits(JsonReader &reader, SecondSendTerms *terms)
 {
     reader.allowOnly({"ratio", "extra", "window_ms"});
     reader.number("ratio", &terms->ratio, 0, 1);
-    reader.number("extra", &terms->extra, 0, static_cast<double>(MostSecondSends));
-    reader.milliseconds("window_ms", &terms->window, LeastSpan, LongestSpan);
+    reader.number("extra", &terms->extra, 0, static_cast<double>(MaxExtraRetries));
+    reader.milliseconds("window_ms", &terms->window, MinDuration, MaxDuration);
 }
 
-void readCharge(JsonReader &reader, const char *name, Millis *charge)
+void readPenalty(JsonReader &reader, const char *name, Millis *penalty)
 {
-    constexpr double MostMillis = 1e6;
-    double value = charge->count();
-    reader.number(name, &value, 0, MostMillis);
-    *charge = Millis(value);
+    constexpr double MaxMillis = 1e6;
+    double value = penalty->count();
+    reader.number(name, &value, 0, MaxMillis);
+    *penalty = Millis(value);
 }
 
 void readPlacement(JsonReader &reader, BackendRates *rates)
 {
-    constexpr double MostReads = 1000;
-    constexpr std::uint64_t MostWeighed = 10'000;
-    constexpr double MostWaits = 10;
+    constexpr double MaxFactor = 1000;
+    constexpr std::uint64_t MaxCandidates = 10'000;
+    constexpr double MaxWaitFactor = 10;
     reader.allowOnly({"copy_reads", "away_reads", "old_weights_part", "old_weights_waits",
                       "other_centre_ms", "reach", "homes", "least_home_reading_ms",
                       "most_wait_targets"});
-    reader.number("copy_reads", &rates->copyReads, 0, MostReads);
-    reader.number("away_reads", &rates->awayReads, 0, MostReads);
-    reader.number("most_wait_targets", &rates->mostWaitTargets, 0, MostReads);
+    reader.number("copy_reads", &rates->copyReads, 0, MaxFactor);
+    reader.number("away_reads", &rates->awayReads, 0, MaxFactor);
+    reader.number("most_wait_targets", &rates->mostWaitTargets, 0, MaxFactor);
     reader.number("old_weights_part", &rates->oldWeightsPart, 0, 1);
-    reader.number("old_weights_waits", &rates->oldWeightsWaits, 0, MostWaits);
-    readCharge(reader, "other_centre_ms", &rates->otherCentre);
-    reader.integer("reach", &rates->reach, 1, MostWeighed);
-    reader.integer("homes", &rates->homes, 1, MostWeighed);
-    readCharge(reader, "least_home_reading_ms", &rates->leastHomeReading);
+    reader.number("old_weights_waits", &rates->oldWeightsWaits, 0, MaxWaitFactor);
+    readPenalty(reader, "other_centre_ms", &rates->otherCentre);
+    reader.integer("reach", &rates->reach, 1, MaxCandidates);
+    reader.integer("homes", &rates->homes, 1, MaxCandidates);
+    readPenalty(reader, "least_home_reading_ms", &rates->leastHomeReading);
 }
 
 void readRollout(JsonReader &reader, RolloutTerms *terms)
@@ -55,7 +55,7 @@
     reader.number("out_part", &terms->outPart, 0, 1);
 }
 
-/// Mechanisms that are switched off, by name; every unknown name is an error of its own.
+/// Reads the names of the mechanisms to switch off and reports each unknown name as an error.
 void readSwitches(JsonReader &reader, NodeSettings *settings)
 {
     if (!reader.has("off")) {
@@ -72,8 +72,9 @@
     }
 }
 
-/// Requests that an operator lets go although engines ended under them.
-void readFreed(JsonReader &reader, std::vector<WorkDigest> *freed)
+/// Reads the requests that an operator has released from quarantine although engines ended while
+/// serving them.
+void readFreedRequests(JsonReader &reader, std::vector<WorkDigest> *freed)
 {
     if (!reader.has("freed_requests")) {
         return;
@@ -138,18 +139,18 @@
     settings.questions = {settings.peers.host, static_cast<std::uint16_t>(settings.peers.port + 1)};
     reader.endpoint("questions", &settings.questions, false);
     Duration keysValid = settings.traffic.keysValidFor + KeyMargin;
-    reader.milliseconds("keys_valid_ms", &keysValid, KeyMargin + LeastSpan, LongestSpan);
+    reader.milliseconds("keys_valid_ms", &keysValid, KeyMargin + MinDuration, MaxDuration);
     settings.traffic.keysValidFor = keysValid - KeyMargin;
     reader.boolean("fails_closed", &settings.traffic.failsClosed);
-    reader.milliseconds("weights_time_ms", &settings.traffic.rates.weightsTime, LeastSpan,
-                        LongestSpan);
-    reader.milliseconds("order_gap_ms", &settings.control.lease.gap, LeastSpan, LongestSpan);
-    reader.milliseconds("drain_ms", &settings.follow.drain, LeastSpan, LongestSpan);
-    reader.milliseconds("configuration_ms", &settings.follow.apply, LeastSpan, LongestSpan);
-    reader.milliseconds("grace_ms", &settings.grace, LeastSpan, LongestSpan);
+    reader.milliseconds("weights_time_ms", &settings.traffic.rates.weightsTime, MinDuration,
+                        MaxDuration);
+    reader.milliseconds("order_gap_ms", &settings.control.lease.gap, MinDuration, MaxDuration);
+    reader.milliseconds("drain_ms", &settings.follow.drain, MinDuration, MaxDuration);
+    reader.milliseconds("configuration_ms", &settings.follow.apply, MinDuration, MaxDuration);
+    reader.milliseconds("grace_ms", &settings.grace, MinDuration, MaxDuration);
     if (reader.has("second_sends")) {
         reader.object("second_sends", [&settings](JsonReader &inner) {
-            readSecondSends(inner, &settings.control.secondSends);
+            readRetryLimits(inner, &settings.control.secondSends);
         });
     }
     if (reader.has("placement")) {
@@ -164,7 +165,7 @@
         });
     }
     readSwitches(reader, &settings);
-    readFreed(reader, &settings.traffic.freedRequests);
+    readFreedRequests(reader, &settings.traffic.freedRequests);
     reader.text("log_level", &settings.logLevel, false);
     if (!errors.empty()) {
         return failure(std::move(errors));
--- a/src/vanilladyke/app/operator_commands.cpp
+++ b/src/vanilladyke/app/operator_commands.cpp
@@ -17,12 +17,12 @@
 
 using nlohmann::json;
 
-/// Longer than a node takes to give its own answer to a publication.
-constexpr Duration AnswerWithin = std::chrono::seconds(15);
+/// Longer than a node takes to respond to a publication.
+constexpr Duration ResponseTimeout = std::chrono::seconds(15);
 constexpr int Ok = 200;
 constexpr int Unauthorized = 401;
 
-/// @brief The arguments that all commands here share.
+/// @brief The arguments common to all commands in this file.
 struct NodeArguments
 {
     explicit NodeArguments(TCLAP::CmdLine &line)
@@ -37,7 +37,7 @@
     TCLAP::SwitchArg asJson;
 };
 
-std::optional<HttpCaller> callerOf(const NodeArguments &arguments)
+std::optional<HttpCaller> makeCaller(const NodeArguments &arguments)
 {
     Endpoint endpoint;
     if (!parseEndpoint(arguments.node.getValue(), &endpoint)) {
@@ -54,8 +54,8 @@
     return caller;
 }
 
-/// Parses a node's answer; complains if it is none of this interface.
-std::optional<json> answerOf(const Outcome<HttpAnswer, HttpFailure> &answer)
+/// Parses a node's response; prints an error if it is not a valid response of the operator API.
+std::optional<json> parseResponse(const Outcome<HttpAnswer, HttpFailure> &answer)
 {
     if (!answer) {
         std::cerr << "the node gave no answer: " << answer.error().detail << '\n';
@@ -147,26 +147,26 @@
                         ' ', ProgramVersion);
     NodeArguments node(line);
     TCLAP::UnlabeledValueArg<std::string> file("file", "the signed bundle", true, "", "FILE", line);
-    if (const auto over = parseArguments(line, "bundle publish", arguments)) {
-        return *over;
+    if (const auto exitCode = parseArguments(line, "bundle publish", arguments)) {
+        return *exitCode;
     }
     const auto text = readFile(file.getValue());
     if (!text) {
         std::cerr << file.getValue() << ": " << text.error().reason << '\n';
         return CommandFailed;
     }
-    auto caller = callerOf(node);
+    auto caller = makeCaller(node);
     if (!caller) {
         return CommandMisused;
     }
     const auto answer = caller->post("/operator/v1/bundles", *text, "application/json",
-                                     MonotonicClock::now() + AnswerWithin);
+                                     MonotonicClock::now() + ResponseTimeout);
     if (!answer && answer.error().sent) {
         std::cerr << "unknown whether it was published: the node gave no answer ("
                   << answer.error().detail << "); look at `bundle history`\n";
         return CommandFailed;
     }
-    const auto result = answerOf(answer);
+    const auto result = parseResponse(answer);
     if (!result) {
         return CommandFailed;
     }
@@ -182,15 +182,15 @@
 {
     TCLAP::CmdLine line("Prints which bundle is in force on every node.", ' ', ProgramVersion);
     NodeArguments node(line);
-    if (const auto over = parseArguments(line, "bundle status", arguments)) {
-        return *over;
+    if (const auto exitCode = parseArguments(line, "bundle status", arguments)) {
+        return *exitCode;
     }
-    auto caller = callerOf(node);
+    auto caller = makeCaller(node);
     if (!caller) {
         return CommandMisused;
     }
-    const auto status =
-            answerOf(caller->get("/operator/v1/status", MonotonicClock::now() + AnswerWithin));
+    const auto status = parseResponse(
+            caller->get("/operator/v1/status", MonotonicClock::now() + ResponseTimeout));
     if (!status) {
         return CommandFailed;
     }
@@ -207,15 +207,15 @@
     TCLAP::CmdLine line("Prints what was in force and when, with digests and signers.", ' ',
                         ProgramVersion);
     NodeArguments node(line);
-    if (const auto over = parseArguments(line, "bundle history", arguments)) {
-        return *over;
+    if (const auto exitCode = parseArguments(line, "bundle history", arguments)) {
+        return *exitCode;
     }
-    auto caller = callerOf(node);
+    auto caller = makeCaller(node);
     if (!caller) {
         return CommandMisused;
     }
-    const auto answer =
-            answerOf(caller->get("/operator/v1/history", MonotonicClock::now() + AnswerWithin));
+    const auto answer = parseResponse(
+            caller->get("/operator/v1/history", MonotonicClock::now() + ResponseTimeout));
     if (!answer) {
         return CommandFailed;
     }
--- a/src/vanilladyke/app/operator_commands.hpp
+++ b/src/vanilladyke/app/operator_commands.hpp
@@ -3,7 +3,7 @@
 #include <string>
 #include <vector>
 
-/// The subcommands that ask a node's operators' interface.
+/// The subcommands that call the operator API of a node.
 namespace vanilladyke {
 
 [[nodiscard]] int publishFile(const std::vector<std::string> &arguments);
--- a/src/vanilladyke/app/peer_setup.hpp
+++ b/src/vanilladyke/app/peer_setup.hpp
@@ -8,10 +8,10 @@
 
 namespace vanilladyke {
 
-/// @brief The fleet's keys as settings name them. @return why they can't be used
+/// @brief Loads the fleet's keys that the settings name. @return an error if they can't be used
 [[nodiscard]] Outcome<PeerKeys, FieldError> loadPeerKeys(const PeerSettings &peers);
 
-/// @brief This node as its peers are to know it, in a life that starts now.
+/// @brief Creates the membership of this node, with an incarnation derived from its start time.
 [[nodiscard]] Membership makeMembership(const HostSettings &settings, WallTime startedAt);
 
 } // namespace vanilladyke
--- a/src/vanilladyke/app/serve.cpp
+++ b/src/vanilladyke/app/serve.cpp
@@ -24,7 +24,7 @@
     return level == "error" ? Severity::Error : Severity::Info;
 }
 
-/// The first TLS file of the settings that can't be read; none if all can.
+/// Returns the first TLS file in the settings that can't be read, or nullopt if all can.
 std::optional<FieldError> unreadableTlsFile(const HostSettings &settings)
 {
     const std::array<std::pair<const char *, const std::string *>, 3> files{{
@@ -41,7 +41,7 @@
     return std::nullopt;
 }
 
-int refuse(const FieldError &error)
+int reportRefused(const FieldError &error)
 {
     LogEvent("settings_refused", Severity::Error)
             .field("field", error.field)
@@ -60,14 +60,14 @@
     const Outcome<PeerKeys, FieldError> peerKeys =
             settings.peers ? loadPeerKeys(*settings.peers) : newPeerKeys();
     if (!peerKeys) {
-        return refuse(peerKeys.error());
+        return reportRefused(peerKeys.error());
     }
     if (const auto unreadable = unreadableTlsFile(settings)) {
-        return refuse(*unreadable);
+        return reportRefused(*unreadable);
     }
     Node node(settings, *peerKeys);
     if (const auto refused = node.bind()) {
-        return refuse(*refused);
+        return reportRefused(*refused);
     }
     node.run(signals);
     LogEvent("stopped").field("exit", EXIT_SUCCESS);
--- a/src/vanilladyke/app/settings_test.cpp
+++ b/src/vanilladyke/app/settings_test.cpp
@@ -19,7 +19,7 @@
     EXPECT_EQ(settings->callers, (Endpoint{"127.0.0.1", 8080}));
 }
 
-TEST(Settings, TellsEveryErrorAtOnceWithFieldValueAndReason)
+TEST(Settings, ReportsAllErrorsWithFieldValueAndReason)
 {
     const auto settings = parseSettings(R"({
         "node": 7, "data_centre": "yaba-hall", "callers": "localhost:80", "colour": "red",
@@ -36,9 +36,9 @@
     EXPECT_EQ(settings.error()[1].reason, "must be a string");
 }
 
-// An operator drops a digit of the stream key. The error goes to terminals and tickets; with the
-// key in it whoever reads those could forge event ids.
-TEST(Settings, KeepsAWrongStreamKeyOutOfItsError)
+// Guards against leaking a mistyped stream key: errors appear in terminals and tickets, whose
+// readers could forge event ids with the key.
+TEST(Settings, OmitsAnInvalidStreamKeyFromItsError)
 {
     const auto settings = parseSettings(R"({
         "node": "n1", "data_centre": "yaba-hall", "callers": "127.0.0.1:8080",
--- a/src/vanilladyke/app/shutdown.cpp
+++ b/src/vanilladyke/app/shutdown.cpp
@@ -9,19 +9,19 @@
 
 namespace {
 
-constexpr Duration LookForSignalEvery = std::chrono::milliseconds(50);
-/// Longer than a stream takes to notice that it has to end.
-constexpr Duration HurryWithin = std::chrono::seconds(3);
+constexpr Duration SignalPollInterval = std::chrono::milliseconds(50);
+/// Longer than a stream takes to detect that it must end.
+constexpr Duration ForcedStopTimeout = std::chrono::seconds(3);
 
-/// @return whether a stop signal came before the deadline
+/// @return whether a stop signal arrived before the deadline
 bool signalledBefore(const sigset_t &signals, TimePoint deadline)
 {
-    const Duration left = std::max(deadline - MonotonicClock::now(), Duration::zero());
-    const auto seconds = std::chrono::floor<std::chrono::seconds>(left);
-    timespec span{};
-    span.tv_sec = seconds.count();
-    span.tv_nsec = (left - seconds).count();
-    const int signal = sigtimedwait(&signals, nullptr, &span);
+    const Duration remaining = std::max(deadline - MonotonicClock::now(), Duration::zero());
+    const auto seconds = std::chrono::floor<std::chrono::seconds>(remaining);
+    timespec timeout{};
+    timeout.tv_sec = seconds.count();
+    timeout.tv_nsec = (remaining - seconds).count();
+    const int signal = sigtimedwait(&signals, nullptr, &timeout);
     if (signal > 0) {
         LogEvent("stopping_at_once", Severity::Warning).field("signal", signal);
     }
@@ -50,14 +50,14 @@
 void shutDown(CallerServer &callers, const sigset_t &signals, Duration balancerLag)
 {
     callers.leave();
-    bool hurried = signalledBefore(signals, MonotonicClock::now() + balancerLag);
+    bool forced = signalledBefore(signals, MonotonicClock::now() + balancerLag);
     callers.refuseNew();
-    while (!hurried && !callers.waitUntilIdle(MonotonicClock::now() + LookForSignalEvery)) {
-        hurried = signalledBefore(signals, MonotonicClock::now());
+    while (!forced && !callers.waitUntilIdle(MonotonicClock::now() + SignalPollInterval)) {
+        forced = signalledBefore(signals, MonotonicClock::now());
     }
-    if (hurried) {
+    if (forced) {
         callers.hurry();
-        static_cast<void>(callers.waitUntilIdle(MonotonicClock::now() + HurryWithin));
+        static_cast<void>(callers.waitUntilIdle(MonotonicClock::now() + ForcedStopTimeout));
     }
     callers.stop();
 }
--- a/src/vanilladyke/app/shutdown.hpp
+++ b/src/vanilladyke/app/shutdown.hpp
@@ -8,15 +8,17 @@
 /// The graceful shutdown of a node.
 namespace vanilladyke {
 
-/// @brief Blocks the stopping signals in this thread and all that it starts, so that one thread
-/// waits for them instead of a handler that may do almost nothing.
+/// @brief Blocks SIGTERM and SIGINT in this thread and the threads that it starts. One thread waits
+/// for them instead, because a signal handler may call only async-signal-safe functions.
+/// @return the blocked signals
 [[nodiscard]] sigset_t blockStopSignals();
 
-/// @brief Waits for the first of them.
+/// @brief Waits until one of the signals arrives.
 void waitForSignal(const sigset_t &signals);
 
-/// @brief Tells the balancer, serves everything as before until its lag has passed, then finishes
-/// the requests under way. A second signal at any moment ends them with errors.
+/// @brief Reports not ready to the balancer, keeps serving until the balancer lag has passed, then
+/// refuses new requests and finishes those in progress. A second signal at any time ends them with
+/// errors.
 void shutDown(CallerServer &callers, const sigset_t &signals, Duration balancerLag);
 
 } // namespace vanilladyke
