--- a/src/vanilladyke/app/bundle_commands.cpp
+++ b/src/vanilladyke/app/bundle_commands.cpp
@@ -49,8 +49,8 @@
 {
     TCLAP::CmdLine line("Checks a bundle and prints every error with field, value and reason.", ' ',
                         ProgramVersion);
-    TCLAP::ValueArg<std::string> against("a", "against", "the bundle that it is to follow", false,
-                                         "", "FILE", line);
+    TCLAP::ValueArg<std::string> against("a", "against", "the preceding bundle", false, "", "FILE",
+                                         line);
     TCLAP::SwitchArg asJson("j", "json", "print JSON", line);
     TCLAP::UnlabeledValueArg<std::string> file("file", "the bundle", true, "", "FILE", line);
     if (const auto exitCode = parseArguments(line, "bundle check", arguments)) {
@@ -84,10 +84,10 @@
 
 int signFile(const std::vector<std::string> &arguments)
 {
-    TCLAP::CmdLine line("Adds a signature to a bundle. The first signer gives the bundle's file, "
-                        "each further one the file that the last one wrote.",
+    TCLAP::CmdLine line("Adds a signature to a bundle. The first signer passes the bundle file, "
+                        "each further signer the file written by the previous one.",
                         ' ', ProgramVersion);
-    TCLAP::ValueArg<std::string> keyFile("k", "key", "signing key, from keys new", true, "", "FILE",
+    TCLAP::ValueArg<std::string> keyFile("k", "key", "signing key from keys new", true, "", "FILE",
                                          line);
     TCLAP::ValueArg<std::string> out("o", "out", "the signed bundle", true, "", "FILE", line);
     TCLAP::UnlabeledValueArg<std::string> file("file", "the bundle", true, "", "FILE", line);
@@ -101,7 +101,7 @@
     }
     const auto key = parseSigningKey(keyText->substr(0, keyText->find_first_of(" \r\n")));
     if (!key) {
-        std::cerr << keyFile.getValue() << ": is no signing key\n";
+        std::cerr << keyFile.getValue() << ": is not a signing key\n";
         return CommandFailed;
     }
     SignedBundle bundle = bundleFromText(*text);
--- a/src/vanilladyke/app/command_line.cpp
+++ b/src/vanilladyke/app/command_line.cpp
@@ -26,12 +26,12 @@
         "  node [--settings FILE] [--check]\n"
         "                            run a node on the platform\n"
         "  settings check FILE       check host settings\n"
-        "  keys new|show             secret keys of operators, nodes and customers\n"
+        "  keys new|show             create or show keys of operators, nodes and customers\n"
         "  bundle check|sign|publish|status|history\n"
-        "                            the life of a configuration bundle\n"
+        "                            manage configuration bundles\n"
         "  explain --id ID LOG...\n"
         "  explain --state FILE --request FILE --customer ID\n"
-        "                            why a request went where it went\n";
+        "                            explain how a request was routed\n";
 
 std::optional<HostSettings> loadSettings(const std::string &path)
 {
--- a/src/vanilladyke/app/explain_command.cpp
+++ b/src/vanilladyke/app/explain_command.cpp
@@ -157,18 +157,19 @@
 
 int runExplain(const std::vector<std::string> &arguments)
 {
-    TCLAP::CmdLine line("With --id and logs of nodes: tells what became of a request. Else makes a "
-                        "placement again from a node's state dump and says why it went so.",
-                        ' ', ProgramVersion);
+    TCLAP::CmdLine line(
+            "With --id and node logs: prints the timeline of a request. Otherwise repeats a "
+            "placement from a node's state dump and prints the reason for its choice.",
+            ' ', ProgramVersion);
     TCLAP::ValueArg<std::string> id("i", "id", "the request's id", false, "", "ID", line);
-    TCLAP::ValueArg<std::string> state("s", "state", "what /operator/v1/state gave", false, "",
-                                       "FILE", line);
+    TCLAP::ValueArg<std::string> state("s", "state", "state dump from /operator/v1/state", false,
+                                       "", "FILE", line);
     TCLAP::ValueArg<std::string> body("r", "request", "the request's JSON body", false, "", "FILE",
                                       line);
-    TCLAP::ValueArg<std::string> customer("c", "customer", "whose request it is", false, "", "ID",
-                                          line);
+    TCLAP::ValueArg<std::string> customer("c", "customer", "the customer that sent the request",
+                                          false, "", "ID", line);
     TCLAP::SwitchArg asJson("j", "json", "print JSON", line);
-    TCLAP::UnlabeledMultiArg<std::string> logs("logs", "logs of nodes", false, "LOG", line);
+    TCLAP::UnlabeledMultiArg<std::string> logs("logs", "log files of nodes", false, "LOG", line);
     if (const auto exitCode = parseArguments(line, "explain", arguments)) {
         return *exitCode;
     }
--- a/src/vanilladyke/app/key_commands.cpp
+++ b/src/vanilladyke/app/key_commands.cpp
@@ -31,16 +31,16 @@
 
 int newKey(const std::vector<std::string> &arguments)
 {
-    TCLAP::CmdLine line("Makes a new secret key, writes it to a file that only its owner can read, "
-                        "and prints what settings or bundles are to hold of it.",
+    TCLAP::CmdLine line("Creates a secret key, writes it to a file that only its owner can read, "
+                        "and prints its public part or digest for settings or bundles.",
                         ' ', ProgramVersion);
     std::vector<std::string> kinds{"signing", "peers", "bearer"};
     TCLAP::ValuesConstraint<std::string> constraint(kinds);
     TCLAP::ValueArg<std::string> kind("k", "kind",
-                                      "signing: signs bundles; peers: links between nodes; "
-                                      "bearer: names an operator or a customer",
+                                      "signing: signs bundles; peers: connections between nodes; "
+                                      "bearer: authenticates an operator or a customer",
                                       false, "signing", &constraint, line);
-    TCLAP::UnlabeledValueArg<std::string> file("file", "where the key is written", true, "", "FILE",
+    TCLAP::UnlabeledValueArg<std::string> file("file", "output file for the key", true, "", "FILE",
                                                line);
     if (const auto exitCode = parseArguments(line, "keys new", arguments)) {
         return *exitCode;
@@ -61,8 +61,8 @@
 
 int showKey(const std::vector<std::string> &arguments)
 {
-    TCLAP::CmdLine line("Prints what settings or bundles are to hold of a secret key.", ' ',
-                        ProgramVersion);
+    TCLAP::CmdLine line("Prints the public part or digest of a secret key for settings or bundles.",
+                        ' ', ProgramVersion);
     TCLAP::UnlabeledValueArg<std::string> file("file", "the key", true, "", "FILE", line);
     if (const auto exitCode = parseArguments(line, "keys show", arguments)) {
         return *exitCode;
--- a/src/vanilladyke/app/node.cpp
+++ b/src/vanilladyke/app/node.cpp
@@ -22,7 +22,7 @@
 
 FieldError addressUnavailable(const std::string &field, const Endpoint &endpoint)
 {
-    return {field, endpoint.str(), "the address is not to be had"};
+    return {field, endpoint.str(), "the address can't be bound"};
 }
 
 LogClient claimStream(const PlatformSettings &platform)
@@ -71,7 +71,7 @@
     }
     if (!m_callers.tlsUsable()) {
         return FieldError{"callers_tls", m_settings.callersTls.certificate,
-                          "no certificate with its private key in these PEM files"};
+                          "these PEM files hold no certificate with a matching private key"};
     }
     if (!m_callers.bind(m_settings.callers)) {
         return addressUnavailable("callers", m_settings.callers);
--- a/src/vanilladyke/app/node_settings.cpp
+++ b/src/vanilladyke/app/node_settings.cpp
@@ -67,7 +67,7 @@
         if (const auto mechanism = mechanismNamed(name)) {
             switchOff(*mechanism, settings);
         } else {
-            reader.fail("off", "no such mechanism: " + name);
+            reader.fail("off", "unknown mechanism: " + name);
         }
     }
 }
@@ -85,7 +85,7 @@
         if (const auto digest = parseWorkDigest(text)) {
             freed->push_back(*digest);
         } else {
-            reader.fail("freed_requests", "no digest of 32 hexadecimal digits: " + text);
+            reader.fail("freed_requests", "not a digest of 32 hexadecimal digits: " + text);
         }
     }
 }
--- a/src/vanilladyke/app/operator_commands.cpp
+++ b/src/vanilladyke/app/operator_commands.cpp
@@ -26,7 +26,7 @@
 struct NodeArguments
 {
     explicit NodeArguments(TCLAP::CmdLine &line)
-        : node("n", "node", "operators' address of any node", true, "", "IP:PORT", line)
+        : node("n", "node", "operator API address of any node", true, "", "IP:PORT", line)
         , keyFile("k", "operator-key", "file that holds the operator's bearer key", true, "",
                   "FILE", line)
         , asJson("j", "json", "print JSON", line)
@@ -41,7 +41,7 @@
 {
     Endpoint endpoint;
     if (!parseEndpoint(arguments.node.getValue(), &endpoint)) {
-        std::cerr << arguments.node.getValue() << ": is no IP number and port\n";
+        std::cerr << arguments.node.getValue() << ": is not an IP address and port\n";
         return std::nullopt;
     }
     const auto key = readFile(arguments.keyFile.getValue());
@@ -58,16 +58,16 @@
 std::optional<json> parseResponse(const Outcome<HttpAnswer, HttpFailure> &answer)
 {
     if (!answer) {
-        std::cerr << "the node gave no answer: " << answer.error().detail << '\n';
+        std::cerr << "no response from the node: " << answer.error().detail << '\n';
         return std::nullopt;
     }
     if (answer->status == Unauthorized) {
-        std::cerr << "the node does not know this operator key\n";
+        std::cerr << "the node rejected the operator key (status 401)\n";
         return std::nullopt;
     }
     json parsed = json::parse(answer->body, nullptr, false);
     if (parsed.is_discarded()) {
-        std::cerr << "the node's answer is no JSON (status " << answer->status << ")\n";
+        std::cerr << "the node's response is not valid JSON (status " << answer->status << ")\n";
         return std::nullopt;
     }
     return parsed;
@@ -91,9 +91,9 @@
     if (outcome == "lost_race") {
         std::cerr << "not accepted: version " << inForce << " was published before it\n";
     } else if (outcome == "log_down") {
-        std::cerr << "not published: the log can't be reached\n";
+        std::cerr << "not published: the log is unreachable\n";
     } else if (outcome == "unknown") {
-        std::cerr << "unknown whether it was published; look at `bundle history` before you try "
+        std::cerr << "unknown whether it was published; check `bundle history` before you try "
                      "again\n";
     } else {
         std::cerr << "refused\n";
@@ -143,8 +143,8 @@
 
 int publishFile(const std::vector<std::string> &arguments)
 {
-    TCLAP::CmdLine line("Publishes a signed bundle through a node and waits for what became of it.",
-                        ' ', ProgramVersion);
+    TCLAP::CmdLine line("Publishes a signed bundle through a node and waits for the outcome.", ' ',
+                        ProgramVersion);
     NodeArguments node(line);
     TCLAP::UnlabeledValueArg<std::string> file("file", "the signed bundle", true, "", "FILE", line);
     if (const auto exitCode = parseArguments(line, "bundle publish", arguments)) {
@@ -162,8 +162,8 @@
     const auto answer = caller->post("/operator/v1/bundles", *text, "application/json",
                                      MonotonicClock::now() + ResponseTimeout);
     if (!answer && answer.error().sent) {
-        std::cerr << "unknown whether it was published: the node gave no answer ("
-                  << answer.error().detail << "); look at `bundle history`\n";
+        std::cerr << "unknown whether it was published: no response from the node ("
+                  << answer.error().detail << "); check `bundle history`\n";
         return CommandFailed;
     }
     const auto result = parseResponse(answer);
@@ -204,7 +204,7 @@
 
 int printHistory(const std::vector<std::string> &arguments)
 {
-    TCLAP::CmdLine line("Prints what was in force and when, with digests and signers.", ' ',
+    TCLAP::CmdLine line("Prints the bundles in force over time, with digests and signers.", ' ',
                         ProgramVersion);
     NodeArguments node(line);
     if (const auto exitCode = parseArguments(line, "bundle history", arguments)) {
@@ -221,7 +221,7 @@
     }
     const auto history = parseHistory(answer->dump());
     if (!history) {
-        std::cerr << "the node's answer is no account: " << history.error() << '\n';
+        std::cerr << "the node's response is not a bundle history: " << history.error() << '\n';
         return CommandFailed;
     }
     if (node.asJson.getValue()) {
--- a/src/vanilladyke/app/settings.cpp
+++ b/src/vanilladyke/app/settings.cpp
@@ -79,14 +79,15 @@
         if (const auto key = parseVerifyKey(text)) {
             trusted->keys.insert(*key);
         } else {
-            reader.fail("trusted_signers", "holds " + text + ", which is no key from `keys new`");
+            reader.fail("trusted_signers",
+                        "holds " + text + ", which is not a public key from `keys new`");
         }
     }
     std::uint64_t needed = trusted->needed;
     reader.integer("signatures_needed", &needed, 1, 100);
     trusted->needed = needed;
     if (reader.has("platform") && trusted->keys.size() < needed) {
-        reader.fail("trusted_signers", "must name as many signers as signatures are needed");
+        reader.fail("trusted_signers", "must name at least signatures_needed signers");
     }
 }
 
