--- a/src/vanilladyke/app/node_command.cpp
+++ b/src/vanilladyke/app/node_command.cpp
@@ -73,10 +73,10 @@
     {
         m_traffic.configAge = [this] { return m_control.proof().age(); };
         m_traffic.operatorNext = [this] { return m_follower.operatorNext(); };
-        SecondSendTerms terms = settings.control.secondSends;
-        terms.nodes = AssumedNodeCount;
+        SecondSendTerms limits = settings.control.secondSends;
+        limits.nodes = AssumedNodeCount;
         m_traffic.nodes = AssumedNodeCount;
-        m_traffic.budget.setTerms(terms);
+        m_traffic.budget.setTerms(limits);
     }
 
     int run()
@@ -115,7 +115,7 @@
         m_trafficContext.run();
         m_controlContext.stop();
         control.join();
-        LogEvent("stop").field("after_ms", MonotonicClock::now() - m_stopAt);
+        LogEvent("stop").field("after_ms", MonotonicClock::now() - m_stopRequestedAt);
         return CommandDone;
     }
 
@@ -162,7 +162,7 @@
     void stop(int signal)
     {
         LogEvent("stopping").field("signal", signal).field("open", m_traffic.openExchanges->size());
-        m_stopAt = MonotonicClock::now();
+        m_stopRequestedAt = MonotonicClock::now();
         m_server.announceStop();
         asio::post(m_controlContext, [this] { m_control.handOver(); });
         pollStop();
@@ -199,20 +199,20 @@
         m_traffic.settings.keysValidFor = settings->traffic.keysValidFor;
         m_traffic.settings.failsClosed = settings->traffic.failsClosed;
         m_traffic.quarantine.setFreed(settings->traffic.freedRequests);
-        SecondSendTerms terms = settings->control.secondSends;
-        terms.nodes = m_traffic.nodes;
-        m_traffic.budget.setTerms(terms);
+        SecondSendTerms limits = settings->control.secondSends;
+        limits.nodes = m_traffic.nodes;
+        m_traffic.budget.setTerms(limits);
         LogEvent("reload").field("path", m_path).field("needs_start", needsRestart);
     }
 
     void pollStop()
     {
         const TimePoint now = MonotonicClock::now();
-        if (now - m_stopAt >= BalancerLag) {
+        if (now - m_stopRequestedAt >= BalancerLag) {
             m_server.leave();
         }
-        const bool isDone = now - m_stopAt >= BalancerLag && m_server.isIdle();
-        if (isDone || now - m_stopAt >= m_settings.grace - KillMargin) {
+        const bool isDone = now - m_stopRequestedAt >= BalancerLag && m_server.isIdle();
+        if (isDone || now - m_stopRequestedAt >= m_settings.grace - KillMargin) {
             m_trafficContext.stop();
             return;
         }
@@ -242,7 +242,7 @@
     asio::signal_set m_signals;
     asio::signal_set m_hangup; ///< SIGHUP: reload the settings file
     asio::steady_timer m_stopTimer;
-    TimePoint m_stopAt;
+    TimePoint m_stopRequestedAt;
 };
 
 } // namespace
--- a/src/vanilladyke/app/node_settings.cpp
+++ b/src/vanilladyke/app/node_settings.cpp
@@ -13,12 +13,12 @@
 constexpr Duration KeyMargin = std::chrono::milliseconds(300);
 constexpr std::uint64_t MaxExtraRetries = 1'000'000;
 
-void readRetryLimits(JsonReader &reader, SecondSendTerms *terms)
+void readRetryLimits(JsonReader &reader, SecondSendTerms *limits)
 {
     reader.allowOnly({"ratio", "extra", "window_ms"});
-    reader.number("ratio", &terms->ratio, 0, 1);
-    reader.number("extra", &terms->extra, 0, static_cast<double>(MaxExtraRetries));
-    reader.milliseconds("window_ms", &terms->window, MinDuration, MaxDuration);
+    reader.number("ratio", &limits->ratio, 0, 1);
+    reader.number("extra", &limits->extra, 0, static_cast<double>(MaxExtraRetries));
+    reader.milliseconds("window_ms", &limits->window, MinDuration, MaxDuration);
 }
 
 void readPenalty(JsonReader &reader, const char *name, Millis *penalty)
@@ -56,7 +56,7 @@
 }
 
 /// Reads the names of the mechanisms to switch off and reports each unknown name as an error.
-void readSwitches(JsonReader &reader, NodeSettings *settings)
+void readDisabledMechanisms(JsonReader &reader, NodeSettings *settings)
 {
     if (!reader.has("off")) {
         return;
@@ -164,7 +164,7 @@
             readRollout(inner, &settings.control.rollout);
         });
     }
-    readSwitches(reader, &settings);
+    readDisabledMechanisms(reader, &settings);
     readFreedRequests(reader, &settings.traffic.freedRequests);
     reader.text("log_level", &settings.logLevel, false);
     if (!errors.empty()) {
--- a/src/vanilladyke/app/operator_commands.cpp
+++ b/src/vanilladyke/app/operator_commands.cpp
@@ -73,7 +73,7 @@
     return parsed;
 }
 
-std::string timeOf(WallTime time)
+std::string formatTime(WallTime time)
 {
     return date::format("%FT%TZ", std::chrono::time_point_cast<std::chrono::milliseconds>(time));
 }
@@ -82,14 +82,14 @@
 {
     const std::string outcome = result.value("outcome", "unknown");
     const std::string version = std::to_string(result.value("version", 0ULL));
-    const std::string inForce = std::to_string(result.value("accepted_version", 0ULL));
+    const std::string acceptedVersion = std::to_string(result.value("accepted_version", 0ULL));
     if (outcome == "accepted") {
         std::cout << "accepted: version " << version << ", digest " << result.value("digest", "")
                   << '\n';
         return;
     }
     if (outcome == "lost_race") {
-        std::cerr << "not accepted: version " << inForce << " was published before it\n";
+        std::cerr << "not accepted: version " << acceptedVersion << " was published before it\n";
     } else if (outcome == "log_down") {
         std::cerr << "not published: the log is unreachable\n";
     } else if (outcome == "unknown") {
@@ -129,8 +129,9 @@
     for (std::size_t i = 0; i < history.size(); ++i) {
         const HistoryEntry &entry = history[i];
         const bool last = i + 1 == history.size();
-        std::cout << "version " << entry.version << "  in force from " << timeOf(entry.acceptedAt)
-                  << " to " << (last ? "now" : timeOf(history[i + 1].acceptedAt)) << "\n  digest "
+        std::cout << "version " << entry.version << "  in force from "
+                  << formatTime(entry.acceptedAt) << " to "
+                  << (last ? "now" : formatTime(history[i + 1].acceptedAt)) << "\n  digest "
                   << entry.digest << "\n  parent " << (entry.parent.empty() ? "none" : entry.parent)
                   << '\n';
         for (const VerifyKey &signer : entry.signers) {
--- a/src/vanilladyke/app/serve.cpp
+++ b/src/vanilladyke/app/serve.cpp
@@ -66,8 +66,8 @@
         return reportRefused(*unreadable);
     }
     Node node(settings, *peerKeys);
-    if (const auto refused = node.bind()) {
-        return reportRefused(*refused);
+    if (const auto bindError = node.bind()) {
+        return reportRefused(*bindError);
     }
     node.run(signals);
     LogEvent("stopped").field("exit", EXIT_SUCCESS);
