--- a/include/vanilladyke/app/node_settings.hpp
+++ b/include/vanilladyke/app/node_settings.hpp
@@ -19,8 +19,8 @@
     /// IP address; with the name it distinguishes a machine from its successor.
     std::string address;
     Endpoint store;
-    Endpoint peers;     ///< UDP address for updates from other nodes
-    Endpoint questions; ///< address for queries of nodes that it reads the store for
+    Endpoint peers;   ///< UDP address for updates from other nodes
+    Endpoint queries; ///< address for queries of nodes for which it reads the store
     ListenSettings listen;
     TrafficSettings traffic;
     ControlSettings control;
--- a/src/vanilladyke/app/node_command.cpp
+++ b/src/vanilladyke/app/node_command.cpp
@@ -65,8 +65,8 @@
         , m_state(m_controlContext, settings.store)
         , m_follower(m_controlContext, m_state, m_records, m_control, m_control.storeCalls(),
                      identityOf(settings), settings.follow, entropySeed())
-        , m_questions(m_controlContext, m_follower, settings.questions, entropySeed())
-        , m_sharing(m_traffic, settings.peers, settings.questions.port)
+        , m_queries(m_controlContext, m_follower, settings.queries, entropySeed())
+        , m_sharing(m_traffic, settings.peers, settings.queries.port)
         , m_signals(m_trafficContext, SIGTERM, SIGINT)
         , m_hangup(m_trafficContext, SIGHUP)
         , m_stopTimer(m_trafficContext)
@@ -89,7 +89,7 @@
             LogEvent("listen_failed", Severity::Error).field("reason", *error);
             return CommandFailed;
         }
-        if (const auto error = m_questions.open()) {
+        if (const auto error = m_queries.open()) {
             LogEvent("listen_failed", Severity::Error).field("reason", *error);
             return CommandFailed;
         }
@@ -145,11 +145,11 @@
         m_control.otherNodes = [this] { return m_follower.otherNodes(); };
         m_follower.fleetKeyKnown = [this](const std::string &key) {
             LogEvent("fleet_key_known").field("bytes", key.size());
-            m_questions.setKey(key);
+            m_queries.setKey(key);
             if (m_settings.follow.asksOthers) {
                 m_follower.setAskPeer([this](Endpoint peer, std::uint64_t operatorNext,
                                              std::uint64_t backendsNext) {
-                    return m_questions.ask(std::move(peer), operatorNext, backendsNext);
+                    return m_queries.ask(std::move(peer), operatorNext, backendsNext);
                 });
             }
             asio::post(m_trafficContext, [this, key] {
@@ -237,7 +237,7 @@
     platform::StateStore m_state;
     platform::StateRecords m_records;
     StateFollower m_follower;
-    PeerQuestions m_questions;
+    PeerQuestions m_queries;
     LoadSharing m_sharing;
     asio::signal_set m_signals;
     asio::signal_set m_hangup; ///< SIGHUP: reload the settings file
--- a/src/vanilladyke/app/node_settings.cpp
+++ b/src/vanilladyke/app/node_settings.cpp
@@ -136,8 +136,8 @@
     }
     reader.endpoint("store", &settings.store);
     reader.endpoint("peers", &settings.peers);
-    settings.questions = {settings.peers.host, static_cast<std::uint16_t>(settings.peers.port + 1)};
-    reader.endpoint("questions", &settings.questions, false);
+    settings.queries = {settings.peers.host, static_cast<std::uint16_t>(settings.peers.port + 1)};
+    reader.endpoint("questions", &settings.queries, false);
     Duration keysValid = settings.traffic.keysValidFor + KeyMargin;
     reader.milliseconds("keys_valid_ms", &keysValid, KeyMargin + MinDuration, MaxDuration);
     settings.traffic.keysValidFor = keysValid - KeyMargin;
