--- a/include/vanilladyke/app/command.hpp
+++ b/include/vanilladyke/app/command.hpp
@@ -11,7 +11,7 @@
 
 inline constexpr int CommandDone = 0;
 inline constexpr int CommandFailed = 1;
-inline constexpr int CommandMisused = 2;
+inline constexpr int CommandUsageError = 2;
 inline constexpr const char *ProgramVersion = "0.1.0";
 
 /// @brief Parses the arguments. Prints the help text on request, and a message on an error.
--- a/src/vanilladyke/app/bundle_commands.cpp
+++ b/src/vanilladyke/app/bundle_commands.cpp
@@ -144,7 +144,7 @@
     const bool help = verb == "--help" || verb == "-h";
     (help ? std::cout : std::cerr)
             << "usage: vanilladyke bundle check|sign|publish|status|history [--help]\n";
-    return help ? CommandDone : CommandMisused;
+    return help ? CommandDone : CommandUsageError;
 }
 
 } // namespace vanilladyke
--- a/src/vanilladyke/app/command.cpp
+++ b/src/vanilladyke/app/command.cpp
@@ -26,10 +26,10 @@
         line.parse(withName);
         return std::nullopt;
     } catch (const TCLAP::ExitException &exit) {
-        return exit.getExitStatus() == 0 ? CommandDone : CommandMisused;
+        return exit.getExitStatus() == 0 ? CommandDone : CommandUsageError;
     } catch (const TCLAP::ArgException &error) {
         std::cerr << name << ": " << error.error() << ' ' << error.argId() << '\n';
-        return CommandMisused;
+        return CommandUsageError;
     }
 }
 
--- a/src/vanilladyke/app/explain_command.cpp
+++ b/src/vanilladyke/app/explain_command.cpp
@@ -178,7 +178,7 @@
     }
     if (!state.isSet() || !body.isSet() || !customer.isSet()) {
         std::cerr << "explain: give --id and logs, or --state, --request and --customer\n";
-        return CommandMisused;
+        return CommandUsageError;
     }
     const TimePoint now = MonotonicClock::now();
     const std::optional<StateDump> dump = loadDump(state.getValue(), now);
--- a/src/vanilladyke/app/key_commands.cpp
+++ b/src/vanilladyke/app/key_commands.cpp
@@ -88,7 +88,7 @@
     }
     const bool help = verb == "--help" || verb == "-h";
     (help ? std::cout : std::cerr) << "usage: vanilladyke keys new|show [--help]\n";
-    return help ? CommandDone : CommandMisused;
+    return help ? CommandDone : CommandUsageError;
 }
 
 } // namespace vanilladyke
--- a/src/vanilladyke/app/operator_commands.cpp
+++ b/src/vanilladyke/app/operator_commands.cpp
@@ -158,7 +158,7 @@
     }
     auto caller = makeCaller(node);
     if (!caller) {
-        return CommandMisused;
+        return CommandUsageError;
     }
     const auto answer = caller->post("/operator/v1/bundles", *text, "application/json",
                                      MonotonicClock::now() + ResponseTimeout);
@@ -188,7 +188,7 @@
     }
     auto caller = makeCaller(node);
     if (!caller) {
-        return CommandMisused;
+        return CommandUsageError;
     }
     const auto status = parseResponse(
             caller->get("/operator/v1/status", MonotonicClock::now() + ResponseTimeout));
@@ -213,7 +213,7 @@
     }
     auto caller = makeCaller(node);
     if (!caller) {
-        return CommandMisused;
+        return CommandUsageError;
     }
     const auto answer = parseResponse(
             caller->get("/operator/v1/history", MonotonicClock::now() + ResponseTimeout));
