--- a/src/vanilladyke/app/explain_command.cpp
+++ b/src/vanilladyke/app/explain_command.cpp
@@ -17,7 +17,7 @@
 namespace {
 
 constexpr std::size_t ViewBytes = 4U << 20U;
-/// Any seed serves: it only decides among candidates that cost about the same.
+/// Any seed will do: it only breaks ties between candidates of about the same cost.
 constexpr std::uint64_t Seed = 1;
 
 std::optional<StateDump> loadDump(const std::string &path, TimePoint now)
@@ -35,7 +35,7 @@
     return std::move(*dump);
 }
 
-/// The request as the filters leave it: parsed and cut into its prefix chain.
+/// Loads the request and runs the filters on it, which parse it and compute its prefix chain.
 std::optional<RequestContext> loadRequest(const std::string &path, const std::string &customer,
                                           std::shared_ptr<const Fleet> fleet, TimePoint now)
 {
@@ -62,7 +62,7 @@
     return context;
 }
 
-CacheView viewOf(const StateDump &dump, TimePoint now)
+CacheView cacheViewOf(const StateDump &dump, TimePoint now)
 {
     CacheView view(ViewBytes);
     for (const EngineView &engine : dump.fleet.engines) {
@@ -74,7 +74,7 @@
     return view;
 }
 
-Placement placeAgain(const RequestContext &context, const CacheView &view, TimePoint now)
+Placement repeatPlacement(const RequestContext &context, const CacheView &view, TimePoint now)
 {
     PlacementRequest request;
     request.customer = context.customer;
@@ -117,7 +117,7 @@
     return out;
 }
 
-/// Tells the story of a request from the logs of nodes, all together in any order.
+/// Reconstructs a request's timeline from node logs, which may be given in any order.
 int explainFromLogs(const std::string &id, const std::vector<std::string> &paths, bool asJson)
 {
     std::vector<LogLine> lines;
@@ -134,50 +134,51 @@
             }
         }
     }
-    const RequestTimeline story = buildTimeline(lines, id);
+    const RequestTimeline timeline = buildTimeline(lines, id);
     if (asJson) {
         const nlohmann::json out{{"id", id},
-                                 {"before", toJson(story.context)},
-                                 {"lines", toJson(story.own)},
-                                 {"verdict", story.verdict}};
+                                 {"before", toJson(timeline.context)},
+                                 {"lines", toJson(timeline.own)},
+                                 {"verdict", timeline.verdict}};
         std::cout << out.dump(1) << '\n';
     } else {
-        for (const LogLine &line : story.context) {
+        for (const LogLine &line : timeline.context) {
             std::cout << "before  " << line.text << '\n';
         }
-        for (const LogLine &line : story.own) {
+        for (const LogLine &line : timeline.own) {
             std::cout << "request " << line.text << '\n';
         }
-        std::cout << story.verdict << '\n';
+        std::cout << timeline.verdict << '\n';
     }
-    return story.own.empty() ? CommandFailed : CommandDone;
+    return timeline.own.empty() ? CommandFailed : CommandDone;
 }
 
 } // namespace
 
 int runExplain(const std::vector<std::string> &arguments)
 {
-    TCLAP::CmdLine line("With --id and logs of nodes: tells what became of a request. Else makes a "
-                        "placement again from a node's state dump and says why it went so.",
-                        ' ', ProgramVersion);
+    TCLAP::CmdLine line(
+            "With --id and node logs: prints the timeline of a request. Otherwise repeats a "
+            "placement from a node's state dump and prints the reason for its choice.",
+            ' ', ProgramVersion);
     TCLAP::ValueArg<std::string> id("i", "id", "the request's id", false, "", "ID", line);
-    TCLAP::ValueArg<std::string> state("s", "state", "what /operator/v1/state gave", false, "",
-                                       "FILE", line);
+    TCLAP::ValueArg<std::string> state("s", "state", "state dump from /operator/v1/state", false,
+                                       "", "FILE", line);
     TCLAP::ValueArg<std::string> body("r", "request", "the request's JSON body", false, "", "FILE",
                                       line);
-    TCLAP::ValueArg<std::string> customer("c", "customer", "whose request it is", false, "", "ID",
-                                          line);
+    TCLAP::ValueArg<std::string> customer("c", "customer", "the customer that sent the request",
+                                          false, "", "ID", line);
     TCLAP::SwitchArg asJson("j", "json", "print JSON", line);
-    TCLAP::UnlabeledMultiArg<std::string> logs("logs", "logs of nodes", false, "LOG", line);
-    if (const auto over = parseArguments(line, "explain", arguments)) {
-        return *over;
+    TCLAP::UnlabeledMultiArg<std::string> logs("logs", "log files of nodes", false, "LOG", line);
+    if (const auto exitCode = parseArguments(line, "explain", arguments)) {
+        return *exitCode;
     }
     if (id.isSet() && !logs.getValue().empty()) {
         return explainFromLogs(id.getValue(), logs.getValue(), asJson.getValue());
     }
     if (!state.isSet() || !body.isSet() || !customer.isSet()) {
         std::cerr << "explain: give --id and logs, or --state, --request and --customer\n";
-        return CommandMisused;
+        return CommandUsageError;
     }
     const TimePoint now = MonotonicClock::now();
     const std::optional<StateDump> dump = loadDump(state.getValue(), now);
@@ -189,7 +190,7 @@
     if (!context) {
         return CommandFailed;
     }
-    const Placement placement = placeAgain(*context, viewOf(*dump, now), now);
+    const Placement placement = repeatPlacement(*context, cacheViewOf(*dump, now), now);
     if (asJson.getValue()) {
         printJson(*context, placement);
     } else {
--- a/src/vanilladyke/app/key_commands.cpp
+++ b/src/vanilladyke/app/key_commands.cpp
@@ -16,8 +16,9 @@
     return end == std::string::npos ? "" : text.substr(0, end + 1);
 }
 
-/// A signing key, a peer key, or an operator's bearer key, whichever the text is.
-std::string publicPart(const std::string &secret)
+/// Derives the public part of a signing key, a peer key or an operator's bearer key; the kind is
+/// detected from the text.
+std::string publicPartOf(const std::string &secret)
 {
     if (const auto signing = parseSigningKey(secret)) {
         return verifyKeyOf(*signing).hex();
@@ -30,19 +31,19 @@
 
 int newKey(const std::vector<std::string> &arguments)
 {
-    TCLAP::CmdLine line("Makes a new secret key, writes it to a file that only its owner can read, "
-                        "and prints what settings or bundles are to hold of it.",
+    TCLAP::CmdLine line("Creates a secret key, writes it to a file that only its owner can read, "
+                        "and prints its public part or digest for settings or bundles.",
                         ' ', ProgramVersion);
     std::vector<std::string> kinds{"signing", "peers", "bearer"};
     TCLAP::ValuesConstraint<std::string> constraint(kinds);
     TCLAP::ValueArg<std::string> kind("k", "kind",
-                                      "signing: signs bundles; peers: links between nodes; "
-                                      "bearer: names an operator or a customer",
+                                      "signing: signs bundles; peers: connections between nodes; "
+                                      "bearer: authenticates an operator or a customer",
                                       false, "signing", &constraint, line);
-    TCLAP::UnlabeledValueArg<std::string> file("file", "where the key is written", true, "", "FILE",
+    TCLAP::UnlabeledValueArg<std::string> file("file", "output file for the key", true, "", "FILE",
                                                line);
-    if (const auto over = parseArguments(line, "keys new", arguments)) {
-        return *over;
+    if (const auto exitCode = parseArguments(line, "keys new", arguments)) {
+        return *exitCode;
     }
     const SigningKey random = newSigningKey();
     std::string secret = random.hex();
@@ -54,24 +55,24 @@
     if (!writeFile(file.getValue(), secret + "\n", true)) {
         return CommandFailed;
     }
-    std::cout << publicPart(secret) << '\n';
+    std::cout << publicPartOf(secret) << '\n';
     return CommandDone;
 }
 
 int showKey(const std::vector<std::string> &arguments)
 {
-    TCLAP::CmdLine line("Prints what settings or bundles are to hold of a secret key.", ' ',
-                        ProgramVersion);
+    TCLAP::CmdLine line("Prints the public part or digest of a secret key for settings or bundles.",
+                        ' ', ProgramVersion);
     TCLAP::UnlabeledValueArg<std::string> file("file", "the key", true, "", "FILE", line);
-    if (const auto over = parseArguments(line, "keys show", arguments)) {
-        return *over;
+    if (const auto exitCode = parseArguments(line, "keys show", arguments)) {
+        return *exitCode;
     }
     const auto text = readFile(file.getValue());
     if (!text) {
         std::cerr << file.getValue() << ": " << text.error().reason << '\n';
         return CommandFailed;
     }
-    std::cout << publicPart(trimmed(*text)) << '\n';
+    std::cout << publicPartOf(trimmed(*text)) << '\n';
     return CommandDone;
 }
 
@@ -87,7 +88,7 @@
     }
     const bool help = verb == "--help" || verb == "-h";
     (help ? std::cout : std::cerr) << "usage: vanilladyke keys new|show [--help]\n";
-    return help ? CommandDone : CommandMisused;
+    return help ? CommandDone : CommandUsageError;
 }
 
 } // namespace vanilladyke
--- a/src/vanilladyke/app/node_command.cpp
+++ b/src/vanilladyke/app/node_command.cpp
@@ -25,14 +25,17 @@
 namespace {
 
 constexpr const char *SettingsVariable = "VANILLADYKE_NODE_FILE";
-/// The balancer asks once a second and takes two misses; until then new connections come.
+/// The balancer probes once a second and removes a node after two failed probes; until then new
+/// connections arrive.
 constexpr Duration BalancerLag = std::chrono::milliseconds(2600);
-/// Ends of requests that take longer than the grace are told by a closed connection.
+/// Requests that outlast the grace period have their connections closed this long before the
+/// process is killed.
 constexpr Duration KillMargin = std::chrono::milliseconds(700);
-constexpr Duration StopStep = std::chrono::milliseconds(50);
-/// A node that has not read the list of nodes may be one of hundreds that were started together:
-/// were each to take all second sends for itself, they would be hundreds of times too many.
-constexpr std::size_t NodesBeforeTheList = 1000;
+constexpr Duration StopPollInterval = std::chrono::milliseconds(50);
+/// Number of nodes assumed until the node list has been read. The node may be one of hundreds that
+/// were started together; if each used the whole retry budget of the fleet, the budget would be
+/// exceeded hundreds of times.
+constexpr std::size_t AssumedNodeCount = 1000;
 
 Severity severityOf(const std::string &level)
 {
@@ -45,7 +48,7 @@
     return level == "error" ? Severity::Error : Severity::Info;
 }
 
-/// Both sides of a node, each on a thread of its own.
+/// A node: the traffic side and the control side, each on its own thread.
 class RoutingNode
 {
 public:
@@ -62,18 +65,18 @@
         , m_state(m_controlContext, settings.store)
         , m_follower(m_controlContext, m_state, m_records, m_control, m_control.storeCalls(),
                      identityOf(settings), settings.follow, entropySeed())
-        , m_questions(m_controlContext, m_follower, settings.questions, entropySeed())
-        , m_sharing(m_traffic, settings.peers, settings.questions.port)
+        , m_queries(m_controlContext, m_follower, settings.queries, entropySeed())
+        , m_sharing(m_traffic, settings.peers, settings.queries.port)
         , m_signals(m_trafficContext, SIGTERM, SIGINT)
         , m_hangup(m_trafficContext, SIGHUP)
         , m_stopTimer(m_trafficContext)
     {
         m_traffic.configAge = [this] { return m_control.proof().age(); };
         m_traffic.operatorNext = [this] { return m_follower.operatorNext(); };
-        FleetRetryLimits terms = settings.control.fleetRetries;
-        terms.nodes = NodesBeforeTheList;
-        m_traffic.nodes = NodesBeforeTheList;
-        m_traffic.retryBudget.setLimits(terms);
+        FleetRetryLimits limits = settings.control.fleetRetries;
+        limits.nodes = AssumedNodeCount;
+        m_traffic.nodes = AssumedNodeCount;
+        m_traffic.retryBudget.setLimits(limits);
     }
 
     int run()
@@ -86,7 +89,7 @@
             LogEvent("listen_failed", Severity::Error).field("reason", *error);
             return CommandFailed;
         }
-        if (const auto error = m_questions.open()) {
+        if (const auto error = m_queries.open()) {
             LogEvent("listen_failed", Severity::Error).field("reason", *error);
             return CommandFailed;
         }
@@ -112,7 +115,7 @@
         m_trafficContext.run();
         m_controlContext.stop();
         control.join();
-        LogEvent("stop").field("after_ms", MonotonicClock::now() - m_stopAt);
+        LogEvent("stop").field("after_ms", MonotonicClock::now() - m_stopRequestedAt);
         return CommandDone;
     }
 
@@ -123,7 +126,7 @@
                 hashOfName(settings.traffic.dataCentre.str()), settings.peers};
     }
 
-    /// What this node and others tell each other, across both threads.
+    /// Connects the exchange of updates with other nodes to the traffic and control threads.
     void connectNodes()
     {
         m_traffic.onPeersChanged = [this](const std::vector<Endpoint> &peers) {
@@ -142,11 +145,11 @@
         m_control.otherNodes = [this] { return m_follower.otherNodes(); };
         m_follower.onFleetKey = [this](const std::string &key) {
             LogEvent("fleet_key_known").field("bytes", key.size());
-            m_questions.setKey(key);
+            m_queries.setKey(key);
             if (m_settings.follow.sharesStoreReads) {
                 m_follower.setAskPeer([this](Endpoint peer, std::uint64_t operatorNext,
                                              std::uint64_t backendsNext) {
-                    return m_questions.ask(std::move(peer), operatorNext, backendsNext);
+                    return m_queries.ask(std::move(peer), operatorNext, backendsNext);
                 });
             }
             asio::post(m_trafficContext, [this, key] {
@@ -159,10 +162,10 @@
     void stop(int signal)
     {
         LogEvent("stopping").field("signal", signal).field("open", m_traffic.openExchanges->size());
-        m_stopAt = MonotonicClock::now();
+        m_stopRequestedAt = MonotonicClock::now();
         m_server.beginDrain();
         asio::post(m_controlContext, [this] { m_control.releaseLease(); });
-        stepStop();
+        pollStop();
     }
 
     void awaitHangup()
@@ -175,7 +178,8 @@
         });
     }
 
-    /// Takes over what may change while a node runs; addresses and names need a start.
+    /// Applies the settings that may change at run time; changed addresses and names need a
+    /// restart.
     void reload()
     {
         const auto text = readFile(m_path);
@@ -188,34 +192,34 @@
                     .field("first", describe(m_path, settings.error()));
             return;
         }
-        const bool needsStart = settings->listen.callers != m_settings.listen.callers
-                                || settings->store != m_settings.store
-                                || settings->peers != m_settings.peers
-                                || settings->control.self != m_settings.control.self;
+        const bool needsRestart = settings->listen.callers != m_settings.listen.callers
+                                  || settings->store != m_settings.store
+                                  || settings->peers != m_settings.peers
+                                  || settings->control.self != m_settings.control.self;
         m_traffic.settings.keysValidFor = settings->traffic.keysValidFor;
         m_traffic.settings.failsClosed = settings->traffic.failsClosed;
         m_traffic.quarantine.setExempted(settings->traffic.releasedRequests);
-        FleetRetryLimits terms = settings->control.fleetRetries;
-        terms.nodes = m_traffic.nodes;
-        m_traffic.retryBudget.setLimits(terms);
-        LogEvent("reload").field("path", m_path).field("needs_start", needsStart);
+        FleetRetryLimits limits = settings->control.fleetRetries;
+        limits.nodes = m_traffic.nodes;
+        m_traffic.retryBudget.setLimits(limits);
+        LogEvent("reload").field("path", m_path).field("needs_start", needsRestart);
     }
 
-    void stepStop()
+    void pollStop()
     {
         const TimePoint now = MonotonicClock::now();
-        if (now - m_stopAt >= BalancerLag) {
+        if (now - m_stopRequestedAt >= BalancerLag) {
             m_server.stopAccepting();
         }
-        const bool isDone = now - m_stopAt >= BalancerLag && m_server.isIdle();
-        if (isDone || now - m_stopAt >= m_settings.grace - KillMargin) {
+        const bool isDone = now - m_stopRequestedAt >= BalancerLag && m_server.isIdle();
+        if (isDone || now - m_stopRequestedAt >= m_settings.grace - KillMargin) {
             m_trafficContext.stop();
             return;
         }
-        m_stopTimer.expires_after(StopStep);
+        m_stopTimer.expires_after(StopPollInterval);
         m_stopTimer.async_wait([this](const ErrorCode &error) {
             if (!error) {
-                stepStop();
+                pollStop();
             }
         });
     }
@@ -233,12 +237,12 @@
     platform::StateStore m_state;
     platform::StateRecords m_records;
     StateFollower m_follower;
-    PeerQueries m_questions;
+    PeerQueries m_queries;
     LoadSharing m_sharing;
     asio::signal_set m_signals;
-    asio::signal_set m_hangup; ///< the settings file has changed
+    asio::signal_set m_hangup; ///< SIGHUP: reload the settings file
     asio::steady_timer m_stopTimer;
-    TimePoint m_stopAt;
+    TimePoint m_stopRequestedAt;
 };
 
 } // namespace
@@ -272,12 +276,13 @@
         return CommandDone;
     }
     initializeLog(severityOf(settings->logLevel), settings->node, LogTarget::StandardOutput);
-    std::signal(SIGPIPE, SIG_IGN); // a reader of the log that goes away must not end the node
+    std::signal(SIGPIPE,
+                SIG_IGN); // else the node would end when a reader of its log closes the pipe
     RoutingNode node(*settings, path);
     const int code = node.run();
-    // Requests that were cut off stand in coroutines that refer to each other and to the node;
-    // taking them down in order brings nothing, since nothing lasts here, and has kept processes
-    // from ending.
+    // Skips destructors: aborted requests are suspended in coroutines that refer to each other and
+    // to the node. Destroying them in order has kept processes from ending, and has no benefit
+    // because the node holds no persistent state.
     std::cout.flush();
     std::cerr.flush();
     std::_Exit(code);
--- a/src/vanilladyke/app/operator_commands.cpp
+++ b/src/vanilladyke/app/operator_commands.cpp
@@ -17,16 +17,16 @@
 
 using nlohmann::json;
 
-/// Longer than a node takes to give its own answer to a publication.
-constexpr Duration AnswerWithin = std::chrono::seconds(15);
+/// Longer than a node takes to respond to a publication.
+constexpr Duration ResponseTimeout = std::chrono::seconds(15);
 constexpr int Ok = 200;
 constexpr int Unauthorized = 401;
 
-/// @brief The arguments that all commands here share.
+/// @brief The arguments common to all commands in this file.
 struct NodeArguments
 {
     explicit NodeArguments(TCLAP::CmdLine &line)
-        : node("n", "node", "operators' address of any node", true, "", "IP:PORT", line)
+        : node("n", "node", "operator API address of any node", true, "", "IP:PORT", line)
         , keyFile("k", "operator-key", "file that holds the operator's bearer key", true, "",
                   "FILE", line)
         , asJson("j", "json", "print JSON", line)
@@ -37,11 +37,11 @@
     TCLAP::SwitchArg asJson;
 };
 
-std::optional<HttpCaller> callerOf(const NodeArguments &arguments)
+std::optional<HttpCaller> makeCaller(const NodeArguments &arguments)
 {
     Endpoint endpoint;
     if (!parseEndpoint(arguments.node.getValue(), &endpoint)) {
-        std::cerr << arguments.node.getValue() << ": is no IP number and port\n";
+        std::cerr << arguments.node.getValue() << ": is not an IP address and port\n";
         return std::nullopt;
     }
     const auto key = readFile(arguments.keyFile.getValue());
@@ -54,26 +54,26 @@
     return caller;
 }
 
-/// Parses a node's answer; complains if it is none of this interface.
-std::optional<json> answerOf(const Outcome<HttpAnswer, HttpFailure> &answer)
+/// Parses a node's response; prints an error if it is not a valid response of the operator API.
+std::optional<json> parseResponse(const Outcome<HttpAnswer, HttpFailure> &answer)
 {
     if (!answer) {
-        std::cerr << "the node gave no answer: " << answer.error().detail << '\n';
+        std::cerr << "no response from the node: " << answer.error().detail << '\n';
         return std::nullopt;
     }
     if (answer->status == Unauthorized) {
-        std::cerr << "the node does not know this operator key\n";
+        std::cerr << "the node rejected the operator key (status 401)\n";
         return std::nullopt;
     }
     json parsed = json::parse(answer->body, nullptr, false);
     if (parsed.is_discarded()) {
-        std::cerr << "the node's answer is no JSON (status " << answer->status << ")\n";
+        std::cerr << "the node's response is not valid JSON (status " << answer->status << ")\n";
         return std::nullopt;
     }
     return parsed;
 }
 
-std::string timeOf(WallTime time)
+std::string formatTime(WallTime time)
 {
     return date::format("%FT%TZ", std::chrono::time_point_cast<std::chrono::milliseconds>(time));
 }
@@ -82,18 +82,18 @@
 {
     const std::string outcome = result.value("outcome", "unknown");
     const std::string version = std::to_string(result.value("version", 0ULL));
-    const std::string inForce = std::to_string(result.value("accepted_version", 0ULL));
+    const std::string acceptedVersion = std::to_string(result.value("accepted_version", 0ULL));
     if (outcome == "accepted") {
         std::cout << "accepted: version " << version << ", digest " << result.value("digest", "")
                   << '\n';
         return;
     }
     if (outcome == "lost_race") {
-        std::cerr << "not accepted: version " << inForce << " was published before it\n";
+        std::cerr << "not accepted: version " << acceptedVersion << " was published before it\n";
     } else if (outcome == "log_down") {
-        std::cerr << "not published: the log can't be reached\n";
+        std::cerr << "not published: the log is unreachable\n";
     } else if (outcome == "unknown") {
-        std::cerr << "unknown whether it was published; look at `bundle history` before you try "
+        std::cerr << "unknown whether it was published; check `bundle history` before you try "
                      "again\n";
     } else {
         std::cerr << "refused\n";
@@ -129,8 +129,9 @@
     for (std::size_t i = 0; i < history.size(); ++i) {
         const HistoryEntry &entry = history[i];
         const bool last = i + 1 == history.size();
-        std::cout << "version " << entry.version << "  in force from " << timeOf(entry.acceptedAt)
-                  << " to " << (last ? "now" : timeOf(history[i + 1].acceptedAt)) << "\n  digest "
+        std::cout << "version " << entry.version << "  in force from "
+                  << formatTime(entry.acceptedAt) << " to "
+                  << (last ? "now" : formatTime(history[i + 1].acceptedAt)) << "\n  digest "
                   << entry.digest << "\n  parent " << (entry.parent.empty() ? "none" : entry.parent)
                   << '\n';
         for (const VerifyKey &signer : entry.signers) {
@@ -143,30 +144,30 @@
 
 int publishFile(const std::vector<std::string> &arguments)
 {
-    TCLAP::CmdLine line("Publishes a signed bundle through a node and waits for what became of it.",
-                        ' ', ProgramVersion);
+    TCLAP::CmdLine line("Publishes a signed bundle through a node and waits for the outcome.", ' ',
+                        ProgramVersion);
     NodeArguments node(line);
     TCLAP::UnlabeledValueArg<std::string> file("file", "the signed bundle", true, "", "FILE", line);
-    if (const auto over = parseArguments(line, "bundle publish", arguments)) {
-        return *over;
+    if (const auto exitCode = parseArguments(line, "bundle publish", arguments)) {
+        return *exitCode;
     }
     const auto text = readFile(file.getValue());
     if (!text) {
         std::cerr << file.getValue() << ": " << text.error().reason << '\n';
         return CommandFailed;
     }
-    auto caller = callerOf(node);
+    auto caller = makeCaller(node);
     if (!caller) {
-        return CommandMisused;
+        return CommandUsageError;
     }
     const auto answer = caller->post("/operator/v1/bundles", *text, "application/json",
-                                     MonotonicClock::now() + AnswerWithin);
+                                     MonotonicClock::now() + ResponseTimeout);
     if (!answer && answer.error().sent) {
-        std::cerr << "unknown whether it was published: the node gave no answer ("
-                  << answer.error().detail << "); look at `bundle history`\n";
+        std::cerr << "unknown whether it was published: no response from the node ("
+                  << answer.error().detail << "); check `bundle history`\n";
         return CommandFailed;
     }
-    const auto result = answerOf(answer);
+    const auto result = parseResponse(answer);
     if (!result) {
         return CommandFailed;
     }
@@ -182,15 +183,15 @@
 {
     TCLAP::CmdLine line("Prints which bundle is in force on every node.", ' ', ProgramVersion);
     NodeArguments node(line);
-    if (const auto over = parseArguments(line, "bundle status", arguments)) {
-        return *over;
+    if (const auto exitCode = parseArguments(line, "bundle status", arguments)) {
+        return *exitCode;
     }
-    auto caller = callerOf(node);
+    auto caller = makeCaller(node);
     if (!caller) {
-        return CommandMisused;
+        return CommandUsageError;
     }
-    const auto status =
-            answerOf(caller->get("/operator/v1/status", MonotonicClock::now() + AnswerWithin));
+    const auto status = parseResponse(
+            caller->get("/operator/v1/status", MonotonicClock::now() + ResponseTimeout));
     if (!status) {
         return CommandFailed;
     }
@@ -204,24 +205,24 @@
 
 int printHistory(const std::vector<std::string> &arguments)
 {
-    TCLAP::CmdLine line("Prints what was in force and when, with digests and signers.", ' ',
+    TCLAP::CmdLine line("Prints the bundles in force over time, with digests and signers.", ' ',
                         ProgramVersion);
     NodeArguments node(line);
-    if (const auto over = parseArguments(line, "bundle history", arguments)) {
-        return *over;
+    if (const auto exitCode = parseArguments(line, "bundle history", arguments)) {
+        return *exitCode;
     }
-    auto caller = callerOf(node);
+    auto caller = makeCaller(node);
     if (!caller) {
-        return CommandMisused;
+        return CommandUsageError;
     }
-    const auto answer =
-            answerOf(caller->get("/operator/v1/history", MonotonicClock::now() + AnswerWithin));
+    const auto answer = parseResponse(
+            caller->get("/operator/v1/history", MonotonicClock::now() + ResponseTimeout));
     if (!answer) {
         return CommandFailed;
     }
     const auto history = parseHistory(answer->dump());
     if (!history) {
-        std::cerr << "the node's answer is no account: " << history.error() << '\n';
+        std::cerr << "the node's response is not a bundle history: " << history.error() << '\n';
         return CommandFailed;
     }
     if (node.asJson.getValue()) {
