--- a/include/vanilladyke/policy/append_pacer.hpp
+++ b/include/vanilladyke/policy/append_pacer.hpp
@@ -30,7 +30,7 @@
     void setLiveNodes(std::uint32_t liveNodes);
     /// @brief Takes a token for one append. @return false if none is available yet
     [[nodiscard]] bool tryTake(TimePoint now);
-    /// @brief When take() will succeed, unless an append fails before.
+    /// @brief When tryTake() will succeed, unless an append fails before.
     [[nodiscard]] TimePoint readyAt() const;
     void succeeded() { m_pause = Duration::zero(); }
     void failed(TimePoint now);
--- a/include/vanilladyke/policy/survival.hpp
+++ b/include/vanilladyke/policy/survival.hpp
@@ -10,7 +10,7 @@
 /// Load pattern: engines evict within seconds and report it late. Without an estimate, a node keeps
 /// queueing requests at an engine that evicted the prefix long ago. The statistics are learned from
 /// the number of cached prompt tokens in every answer. The prior is a half-life of 20 s, as
-/// measured on engines with little memory.
+/// on engines with little memory.
 namespace vanilladyke {
 
 /// @brief Evidence that an engine has a prefix cached.
--- a/include/vanilladyke/policy/wait_limit.hpp
+++ b/include/vanilladyke/policy/wait_limit.hpp
@@ -28,7 +28,7 @@
 };
 
 /// @brief When a refused request may retry.
-/// @param waits predicted time until the selected server has processed the backlog ahead
+/// @param predictedWait predicted time until the selected server has processed the backlog ahead
 /// @return none if the request may be sent
 [[nodiscard]] std::optional<TimePoint> refusedUntil(const WaitLimits &limits, Millis predictedWait,
                                                     TimePoint now);
